--- a/src/godwitmast/config/change.py
+++ b/src/godwitmast/config/change.py
@@ -1,4 +1,4 @@
-"""Changing the configuration: a patch against a number, accepted once or not at all."""
+"""Configuration changes: a patch against a version, accepted once or not at all."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -31,17 +31,17 @@
 from godwitmast.types import Json
 
 SNAPSHOT_EVERY = 100
-"""Changes between two snapshots: what a new node reads beside the newest of them."""
+"""Changes between two snapshots; bounds the changes that a new node has to read."""
 
-TRIES = 4
-"""How often a write of unknown outcome is sent again before the caller is told."""
+MAX_WRITE_ATTEMPTS = 4
+"""Writes of one patch, while their outcome is unknown, before the caller is told so."""
 
 
 class Patch(NamedTuple):
-    """A merge patch as its author sends it.
+    """A merge patch as its author submits it.
 
-    `against` is the number that its author looked at. A `patch_id` is used for one
-    patch only, so that sending it again after a lost answer is safe.
+    `against` is the version that the patch was made against. Each `patch_id` belongs to
+    one patch, so a patch can safely be sent again after a lost answer.
     """
 
     patch_id: str
@@ -54,17 +54,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The patch is in the history under `number`."""
+    """The patch was accepted as version `number`."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Stale:
-    """Others changed the configuration first; nothing was written, or ever will be.
+    """Another patch was accepted first; this one was not and never will be written.
 
-    `changes` are theirs since `against`, and `overlapping` the paths that this patch
-    shares with them.
+    `changes` are the changes accepted since `against`, and `overlapping` the paths that
+    both they and this patch change.
     """
 
     against: int
@@ -75,40 +75,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Invalid:
-    """The document that the patch leads to contradicts itself."""
+    """The patched document is not valid."""
 
     problems: str
 
 
 @dataclass(frozen=True, slots=True)
 class Away:
-    """The platform did not take the patch; nothing was written."""
+    """The platform could not be reached; nothing was written."""
 
 
 @dataclass(frozen=True, slots=True)
 class Unsettled:
-    """The patch may be accepted yet: send it again with the same id to find out."""
+    """The patch may still be accepted; send it again with the same id to find out."""
 
 
 ChangeOutcome = Accepted | Stale | Invalid | Away | Unsettled
 
 
-class Base(NamedTuple):
-    """The head row that a patch is written against."""
+class HeadRow(NamedTuple):
+    """The head row that a patch is written against, and the row's version."""
 
     head: Head
     version: int
 
 
 def propose(state: ConfigState, patch: Patch) -> Steps[ChangeOutcome]:
-    """Accept a patch if nothing was accepted since the number it was made against.
+    """Accept a patch if no other was accepted since the version it was made against.
 
-    `state` is brought up to date on the way. An outcome that is not known is settled
-    by looking for the patch id; while the head has not moved, the write may still be
-    on its way, and sending the same write again cannot make it happen twice.
+    Also brings `state` up to date. An unknown outcome is resolved by reading the row of
+    the patch id. While the head row is unchanged, the write may still be in flight;
+    repeating it is safe, since compare-and-set lets only one of the two succeed.
     """
     sent = False
-    for _ in range(TRIES):
+    for _ in range(MAX_WRITE_ATTEMPTS):
         found = yield Read([HEAD_KEY, patch_key(patch.patch_id)])
         if not isinstance(found, Rows):
             continue
@@ -117,9 +117,9 @@
             return Accepted(known["number"])
         if found.value(HEAD_KEY) is None:
             return Invalid("there is no first configuration yet")
-        base = Base(Head(**found.value(HEAD_KEY)), found.version(HEAD_KEY))
+        base = HeadRow(Head(**found.value(HEAD_KEY)), found.version(HEAD_KEY))
         if base.head.number != patch.against:
-            return (yield from explain_stale(patch, base.head.number))
+            return (yield from describe_conflict(patch, base.head.number))
         yield from catch_up(state)
         outcome = yield from write_patch(state, patch, base)
         sent = True
@@ -132,9 +132,9 @@
 
 
 def write_patch(
-    state: ConfigState, patch: Patch, base: Base
+    state: ConfigState, patch: Patch, base: HeadRow
 ) -> Steps[Written | Conflict | Failure | Invalid]:
-    """Check the patched document, then write it by compare-and-set of the head."""
+    """Validate the patched document, then write it by compare-and-set on the head."""
     if state.current is None or state.version != patch.against:
         return Failure.NOT_DONE
     document = merge_patch(state.current.raw, patch.patch)
@@ -145,7 +145,8 @@
     number = patch.against + 1
     head = base.head._replace(number=number)
     if number - head.snapshot_number >= SNAPSHOT_EVERY:
-        # Before the rows that name it: a snapshot that no row names does no harm.
+        # The snapshot is written before the rows that refer to it: one without a
+        # reference does no harm, a reference without a snapshot would.
         name = snapshot_name(number, patch.patch_id)
         put = yield PutObject(name, encode_snapshot(Snapshot(number, document)))
         if not isinstance(put, Failure):
@@ -165,21 +166,21 @@
     return result
 
 
-def explain_stale(patch: Patch, current: int) -> Steps[Stale]:
-    """Return what others changed since the patch's number, as far as can be read."""
+def describe_conflict(patch: Patch, current: int) -> Steps[Stale]:
+    """Return the changes since the patch's version, if the table can be read."""
     found = yield Scan(DELTA_PREFIX, delta_key(patch.against))
     if not isinstance(found, Rows):
         return Stale(patch.against, current)
     changes = [Delta(**row.value) for row in found.rows.values()]
-    theirs: set[str] = set()
+    conflicting: set[str] = set()
     for change in changes:
-        theirs |= touched(change.patch)
-    shared = overlap(touched(patch.patch), theirs)
+        conflicting |= touched(change.patch)
+    shared = overlap(touched(patch.patch), conflicting)
     return Stale(patch.against, current, changes, shared)
 
 
 def read_history(first: int = 1) -> Steps[list[Delta] | None]:
-    """Return the accepted changes from number `first` on, or None if away."""
+    """Return the changes from version `first` on, or None if the table is unreachable."""
     found = yield Scan(DELTA_PREFIX, delta_key(first - 1))
     if not isinstance(found, Rows):
         return None
@@ -187,9 +188,9 @@
 
 
 def document_at(number: int) -> Steps[Json | None]:
-    """Return the whole document at a number, from the changes that led to it.
+    """Return the whole document at a version, rebuilt from the changes up to it.
 
-    None if the platform is away or the number was never accepted.
+    None if the platform is unreachable or the version was never accepted.
     """
     changes = yield from read_history()
     if changes is None or not any(change.number == number for change in changes):
--- a/src/godwitmast/config/document.py
+++ b/src/godwitmast/config/document.py
@@ -1,4 +1,4 @@
-"""The configuration document: what operators number, patch and put in force."""
+"""The configuration document, which operators change by numbered patches."""
 
 from typing import Annotated, Literal, NamedTuple
 
@@ -11,13 +11,13 @@
 
 
 class RequestClass(NamedTuple):
-    """A class of requests with its targets.
+    """A class of requests with its latency targets.
 
-    Tier 1 is the highest. A class names at least one target: seconds to the first
-    token, seconds between tokens, or seconds to the whole answer. `patience_s` is how
-    long its callers wait for the first token before they leave, if that is known.
-    `engine_priority` is what engines order its requests by, 0 first, where that is not
-    the tier.
+    Tier 1 is the highest. A class has at least one target: seconds to the first token,
+    seconds between tokens, or seconds to the whole answer. `patience_s` is how long its
+    callers wait for the first token before they disconnect, if that is known.
+    `engine_priority` is the priority of its requests inside the engines, 0 first, if it
+    differs from the tier.
     """
 
     tier: Annotated[int, Ge(1), Le(99)]
@@ -31,16 +31,16 @@
 
     @property
     def order_in_engines(self) -> int:
-        """Return the priority that engines are told."""
+        """Return the priority that is sent to engines."""
         return self.tier if self.engine_priority is None else self.engine_priority
 
 
 class Team(NamedTuple):
-    """A team with its weight, its limits and what it may use.
+    """A team with its fair-share weight, its limits and its allowed classes and models.
 
-    An empty `classes` or `models` allows all; a limit of None is no limit.
-    `offline_grace_s` is how long an availability zone that is cut off from platform
-    and peers still serves the team's keys; None is for as long as it is cut off.
+    An empty `classes` or `models` allows all; a limit of None means unlimited.
+    `offline_grace_s` is how long an availability zone that reaches neither platform nor
+    peers still serves the team's keys; None means without a time limit.
     """
 
     weight: Positive = 1.0
@@ -53,7 +53,7 @@
 
 
 class KeyGrant(NamedTuple):
-    """What a key lets its caller do; the key itself is stored only as a hash."""
+    """The permissions of an API key; the key itself is stored only as a hash."""
 
     team: str
     default_class: str
@@ -63,10 +63,10 @@
 
 
 class ColdStart(NamedTuple):
-    """How a server warms up after its start.
+    """The request rate that a server can take while it warms up after its start.
 
-    For `start_s` it bears `per_s` requests a second of all entries together, and never
-    more than `most` in one second.
+    For `start_s` it takes `per_s` requests a second from all entries together, and
+    never more than `most` within one second.
     """
 
     per_s: Positive
@@ -81,15 +81,15 @@
     max_output_tokens: Annotated[int, Gt(0)] = 1024
     weight_gb: Positive = 14.0
     fetches: bool = False
-    """Its engines copy parts of prompts from each other, far faster than they read."""
+    """Its engines copy prompt prefixes from each other, far faster than by prefill."""
     cold_start: ColdStart | None = None
 
 
 class Service(NamedTuple):
-    """A plain service beside the engines.
+    """A plain HTTP service that is not an inference engine.
 
-    A path that is one of `idempotent_paths` or below one may be repeated whatever its
-    method; all else but GET and HEAD may not.
+    Requests to a path in or below `idempotent_paths` may be retried whatever their
+    method; elsewhere only GET and HEAD may.
     """
 
     idempotent_paths: frozenset[str] = frozenset()
@@ -100,8 +100,9 @@
 class Backend(NamedTuple):
     """A backend server; `pools` names the models and services that it serves.
 
-    `places` is how many requests it runs at a time; without it that is learned. What
-    lists itself may say how long it stays cold, and by its incarnation that it restarted.
+    `places` is how many requests it runs concurrently; if None, the limit is estimated
+    at run time. A server that registers itself may report how long it stays cold in
+    `cold_s`, and a restart by a new `incarnation`.
     """
 
     url: str
@@ -116,13 +117,13 @@
 
 
 class CapacityIntention(NamedTuple):
-    """What operators want of the number of backend servers for a model.
+    """The operators' limits and goals for the number of a model's backend servers.
 
-    An empty `zones` allows those where the configuration has servers of the model.
-    `cheap_share` is the most that may be cheap, `high_tiers` how many tiers from the
-    top must stay inside their targets when a zone of cheap servers is lost. The two
-    speeds are what one server gives while it keeps to the targets; prices are in the
-    unit of `budget_per_hour`.
+    An empty `zones` allows the zones in which the configuration has servers of the
+    model. `cheap_share` is the largest share of cheap servers. The top `high_tiers`
+    tiers must still meet their targets when a zone of cheap servers is lost. The two
+    token rates are what one server delivers while it meets the targets; prices are in
+    the unit of `budget_per_hour`.
     """
 
     min_servers: Annotated[int, Ge(0)] = 1
@@ -140,7 +141,7 @@
 
 
 class Evacuation(NamedTuple):
-    """An availability zone whose backend servers get no new work."""
+    """An availability zone whose backend servers receive no new requests."""
 
     reason: str = ""
 
@@ -159,7 +160,7 @@
 
 
 class NumberedConfig(NamedTuple):
-    """A configuration that was accepted, with its number."""
+    """An accepted configuration with its version number."""
 
     version: int
     document: Document
--- a/src/godwitmast/config/follower.py
+++ b/src/godwitmast/config/follower.py
@@ -1,4 +1,4 @@
-"""Keeps a process on the newest configuration that it has heard of."""
+"""The loop that keeps a process on the newest configuration, by polling and by push."""
 
 import random
 from collections.abc import Callable
@@ -15,28 +15,28 @@
 from godwitmast.platform_api.runner import run_steps
 from godwitmast.types import Json
 
-PULL_EVERY_S = 2.2
-"""How often an entry reads the head row, so that even without peers a change is in
-force within 3 s."""
+PULL_INTERVAL_S = 2.2
+"""Interval at which an entry reads the head row. A change is in force within 3 s even
+without peers."""
 
-PUSHED_PULL_S = 3.0
-"""How often it does while it has peers, which push each change at once."""
+PUSHED_PULL_INTERVAL_S = 3.0
+"""Interval while connected to peers, which push each change immediately."""
 
 SLOW_PULL_S = 6.0
-"""How often a control does, which answers no caller."""
+"""Interval of a control daemon, which serves no callers."""
 
 Listener = Callable[[NumberedConfig], None]
 
 
 class ConfigFollower:
-    """Pulls from the table, takes what peers offer, and tells listeners.
+    """Polls the table, applies what peers push, and notifies listeners.
 
-    Listeners are called once for each number that is put in force, in rising order,
-    with some left out when several came at once.
+    Listeners are called in increasing order of versions, at most once for each; when
+    several changes arrive together, only for the last.
     """
 
     def __init__(
-        self, platform: PlatformClient, pull_every_s: float = PULL_EVERY_S
+        self, platform: PlatformClient, pull_every_s: float = PULL_INTERVAL_S
     ) -> None:
         self.platform = platform
         self.pull_every_s = pull_every_s
@@ -45,7 +45,7 @@
         self.watchers: dict[str, Callable[[Json], None]] = {}
         self.is_pushed: Callable[[], bool] = lambda: False
         self.ready = anyio.Event()
-        self.told = 0
+        self.notified_version = 0
         self.last_contact: float | None = None
         self.background = Background(self.run)
 
@@ -61,88 +61,88 @@
         await self.background.start(tasks)
 
     async def close(self) -> None:
-        """Ask the platform nothing more, so that its client can be closed."""
+        """Stop polling the platform, so that its client can be closed."""
         await self.background.close()
 
     async def run(self) -> None:
         while True:
             await self.pull()
-            # Jittered, so that nodes which started together do not read together.
-            every_s = PUSHED_PULL_S if self.is_pushed() else self.pull_every_s
+            # Jitter keeps nodes that started together from polling in step.
+            every_s = PUSHED_PULL_INTERVAL_S if self.is_pushed() else self.pull_every_s
             await anyio.sleep(every_s * random.uniform(0.8, 1.2))
 
     async def pull(self) -> None:
-        """Read the head row, and what it leads to if its number is higher."""
+        """Read the head row, and the changes or snapshot if its version is newer."""
         if await run_steps(self.platform, catch_up(self.state)):
             self.heard()
-            self.tell_watchers()
+            self.notify_watchers()
         else:
             log_event("config_pull_failed", level="WARNING")
-        self.tell()
+        self.notify_listeners()
 
     def watch(self, key: str, listener: Callable[[Json], None]) -> None:
-        """Read another small row along with the head, and pass its value on."""
+        """Read another small row with each poll, and pass its value to `listener`."""
         self.watchers[key] = listener
         self.state.watched[key] = None
 
-    def tell_watchers(self) -> None:
+    def notify_watchers(self) -> None:
         for key, value in self.state.watched.items():
             if value is not None:
                 self.watchers[key](value)
 
     def heard(self) -> None:
-        """Note that the platform, or a peer that is in touch with it, was reached."""
+        """Record that the platform, or a peer that reaches the platform, was reached."""
         self.last_contact = anyio.current_time()
 
     def cut_off_s(self) -> float:
-        """Return for how long neither platform nor such a peer was reached."""
+        """Return the seconds since the last contact, infinite if there was none."""
         if self.last_contact is None:
             return float("inf")
         return anyio.current_time() - self.last_contact
 
     def adopt(self, number: int, raw: Json) -> bool:
-        """Put a whole configuration in force, unless one as new is already."""
+        """Put a whole document in force, unless one at least as new already is."""
         outcome = self.state.adopt(number, raw)
-        self.tell()
+        self.notify_listeners()
         return outcome is Offered.ADOPTED
 
     def offer_snapshot(self, snapshot: Snapshot) -> bool:
-        """Take a snapshot from a peer; return whether it was put in force."""
+        """Apply a snapshot from a peer; return whether it was put in force."""
         return self.adopt(snapshot.number, snapshot.document)
 
     def offer_delta(self, delta: Delta) -> Offered:
-        """Take a change from a peer; after a GAP ask it for more."""
+        """Apply a change from a peer; after a GAP the earlier ones must be requested."""
         outcome = self.state.offer_delta(delta)
-        self.tell()
+        self.notify_listeners()
         return outcome
 
     def offer_deltas(self, deltas: list[Delta]) -> Offered:
-        """Take changes in rising order, and tell listeners once at their end."""
+        """Apply changes in increasing order, and notify listeners once at the end."""
         outcome = Offered.OLD
         for delta in deltas:
             outcome = self.state.offer_delta(delta)
             if outcome in (Offered.GAP, Offered.REJECTED):
                 break
-        self.tell()
+        self.notify_listeners()
         return outcome
 
     def deltas_after(self, version: int) -> list[Delta] | None:
-        """Return the changes after `version`, or None if a snapshot is needed."""
+        """Return the changes after `version`, or None if the caller needs a snapshot."""
         return self.state.deltas_after(version)
 
     def snapshot(self) -> Snapshot | None:
-        """Return the whole configuration in force, for a peer."""
+        """Return the whole configuration in force, to be sent to a peer."""
         return self.state.snapshot()
 
-    def tell(self) -> None:
-        """Tell listeners of a new number, and operators of a rejected one."""
+    def notify_listeners(self) -> None:
+        """Notify listeners of a new version, and log a rejected one."""
         if self.state.rejected is not None:
             log_event("config_rejected", level="ERROR", error=self.state.rejected)
             self.state.rejected = None
         current = self.state.current
-        if current is None or current.version <= self.told:
+        if current is None or current.version <= self.notified_version:
             return
-        self.told = current.version
+        self.notified_version = current.version
         log_event("config_in_force", number=current.version)
         for listener in self.listeners:
             listener(current)
--- a/src/godwitmast/config/machine.py
+++ b/src/godwitmast/config/machine.py
@@ -1,8 +1,8 @@
-"""Which configuration is in force in a process, and how it catches up, without I/O.
+"""The configuration in force in a process and its catch-up protocol, without I/O.
 
-Numbers only go up. A process takes changes one after the other, from the table or
-from a peer, or a whole snapshot when it missed too many; both ways lead to the same
-document, since each number has one change and one document.
+Version numbers only increase. A process applies changes one by one, from the table or
+from a peer, or a whole snapshot if it has missed too many. Both lead to the same
+document, since each number has exactly one change and one document.
 """
 
 from collections import deque
@@ -26,38 +26,38 @@
 from godwitmast.types import Json
 
 DELTAS_KEPT = 256
-"""Enough for a peer that was away for hours at 1,300 changes a day."""
+"""Covers a peer that was disconnected for hours, at 1,300 changes a day."""
 
 
 class Offered(Enum):
-    """What became of a change or a snapshot that was offered."""
+    """The outcome of applying a change or a snapshot."""
 
     ADOPTED = "adopted"
     OLD = "old"
-    """Its number is in force already, or a higher one is."""
+    """Its number, or a higher one, is already in force."""
     GAP = "gap"
-    """Changes before it are missing: fetch them, or a snapshot."""
+    """Earlier changes are missing: fetch them or a snapshot."""
     REJECTED = "rejected"
-    """The document is not valid; what was in force stays so."""
+    """The document is not valid; the previous configuration stays in force."""
 
 
 class ConfigState:
-    """The configuration in force here, and the last changes that led to it."""
+    """The configuration in force in this process and the latest changes to it."""
 
     def __init__(self) -> None:
         self.current: NumberedConfig | None = None
         self.deltas: deque[Delta] = deque(maxlen=DELTAS_KEPT)
         self.rejected: str | None = None
         self.watched: dict[str, Json] = {}
-        """Other rows whose values, if there are any, are read along with the head."""
+        """Values of other rows that are read together with the head row; None if absent."""
 
     @property
     def version(self) -> int:
-        """Return the number in force, or 0 before there is one."""
+        """Return the number in force, or 0 if there is none yet."""
         return self.current.version if self.current else 0
 
     def adopt(self, number: int, raw: Json) -> Offered:
-        """Put a whole document in force, unless one as new is already."""
+        """Put a whole document in force, unless one at least as new already is."""
         if number <= self.version:
             return Offered.OLD
         outcome = self.put_in_force(number, raw)
@@ -84,15 +84,15 @@
             else:
                 document = parse_change(self.current.document, raw, patch)
         except ConfigInvalid as error:
-            # Patches are checked before they are accepted, so something else wrote
-            # this. Serving on under the old configuration loses less.
+            # Patches are validated before they are accepted, so some other program
+            # wrote this one. Keeping the old configuration in force loses less.
             self.rejected = f"{number}: {error}"
             return Offered.REJECTED
         self.current = NumberedConfig(number, document, raw)
         return Offered.ADOPTED
 
     def deltas_after(self, version: int) -> list[Delta] | None:
-        """Return the changes after `version`, or None if a snapshot is needed."""
+        """Return the changes after `version`, or None if the caller needs a snapshot."""
         if version >= self.version:
             return []
         after = [delta for delta in self.deltas if delta.number > version]
@@ -108,11 +108,11 @@
 
 
 def catch_up(state: ConfigState) -> Steps[bool]:
-    """Bring `state` to the table's number; return whether the table answered."""
+    """Bring `state` to the table's version; return whether the table answered."""
     try:
         return (yield from pull(state))
     except ConfigInvalid as error:
-        # A row that something else wrote: serve on under what is in force.
+        # Some other program wrote the row; the configuration in force stays.
         state.rejected = str(error)
         return True
 
--- a/src/godwitmast/config/parsing.py
+++ b/src/godwitmast/config/parsing.py
@@ -1,4 +1,4 @@
-"""Checks configuration documents, as operators write them."""
+"""Validation of configuration documents, as operators write them."""
 
 from collections.abc import Container, Iterable, Iterator
 from typing import Any
@@ -20,7 +20,7 @@
 from godwitmast.types import Json
 from godwitmast.validation import describe
 
-ADAPTER = TypeAdapter(Document)
+DOCUMENT_ADAPTER = TypeAdapter(Document)
 ITEM_ADAPTERS: dict[str, TypeAdapter[Any]] = {
     "classes": TypeAdapter(RequestClass),
     "teams": TypeAdapter(Team),
@@ -31,13 +31,13 @@
     "capacity": TypeAdapter(CapacityIntention),
     "evacuated": TypeAdapter(Evacuation),
 }
-"""The items of each section of a document."""
+"""Validators of the items of each section of a document."""
 
 
 def parse_document(raw: Json) -> Document:
-    """Return the checked document, or raise ConfigInvalid naming every problem."""
+    """Return the validated document, or raise ConfigInvalid that names every problem."""
     try:
-        document = ADAPTER.validate_python(raw)
+        document = DOCUMENT_ADAPTER.validate_python(raw)
     except ValidationError as error:
         raise ConfigInvalid(describe(error)) from None
     problems = find_problems(document)
@@ -47,11 +47,11 @@
 
 
 def parse_change(before: Document, raw: Json, patch: Json) -> Document:
-    """Return `parse_document(raw)`, where `patch` led from `before` to `raw`.
+    """Return `parse_document(raw)`, where `patch` turned `before` into `raw`.
 
-    Only what the patch names is checked for its shape. With thousands of teams the
-    whole would hold up every request of the process for a tenth of a second at each
-    change.
+    Only the items that the patch names are validated against their schema. With
+    thousands of teams, validating the whole document would block the event loop, and
+    so every request of the process, for a tenth of a second at each change.
     """
     if not isinstance(patch, dict) or not patch.keys() <= ITEM_ADAPTERS.keys():
         return parse_document(raw)
@@ -66,7 +66,7 @@
                 try:
                     item = ITEM_ADAPTERS[section].validate_python(raw[section][name])
                 except ValidationError:
-                    # The whole check names the place of each problem.
+                    # Only validation of the whole document gives full paths.
                     return parse_document(raw)
                 kept[name] = item
         changed[section] = kept
@@ -78,7 +78,7 @@
 
 
 def find_problems(document: Document) -> list[str]:
-    """Return what contradicts itself in a document of the right shape."""
+    """Return the contradictions in a document that satisfies its schema."""
     problems = [
         f"classes.{name}: names no target"
         for name, item in document.classes.items()
@@ -88,28 +88,32 @@
     if shares > 1:
         problems.append(f"classes: turn shares add up to {shares:.3g}, over 1")
     for name, team in document.teams.items():
-        problems += unknown(f"teams.{name}.classes", team.classes, document.classes)
-        problems += unknown(f"teams.{name}.models", team.models, document.models)
+        problems += find_unknown(
+            f"teams.{name}.classes", team.classes, document.classes
+        )
+        problems += find_unknown(f"teams.{name}.models", team.models, document.models)
     for digest, grant in document.keys.items():
         place = f"keys.{digest[:12]}"
-        problems += unknown(f"{place}.team", {grant.team}, document.teams)
-        problems += unknown(
+        problems += find_unknown(f"{place}.team", {grant.team}, document.teams)
+        problems += find_unknown(
             f"{place}.default_class", {grant.default_class}, document.classes
         )
-        problems += unknown(f"{place}.classes", grant.classes, document.classes)
-        problems += unknown(f"{place}.models", grant.models, document.models)
+        problems += find_unknown(f"{place}.classes", grant.classes, document.classes)
+        problems += find_unknown(f"{place}.models", grant.models, document.models)
     pools = document.models.keys() | document.services.keys()
     for name, backend in document.backends.items():
-        problems += unknown(f"backends.{name}.pools", backend.pools, pools)
-    problems += unknown("capacity", document.capacity, document.models)
+        problems += find_unknown(f"backends.{name}.pools", backend.pools, pools)
+    problems += find_unknown("capacity", document.capacity, document.models)
     return problems
 
 
-def unknown(place: str, names: Iterable[str], known: Container[str]) -> Iterator[str]:
-    """Give a problem for each of `names` that is not among `known`.
+def find_unknown(
+    place: str, names: Iterable[str], known: Container[str]
+) -> Iterator[str]:
+    """Yield a problem for each of `names` that is not in `known`.
 
-    `known` is asked and never copied: it may hold thousands of teams, and this runs
-    once for each key.
+    `known` must not be copied: it may hold thousands of teams, and this runs once for
+    each key.
     """
     for name in sorted(names):
         if name not in known:
--- a/src/godwitmast/config/patch.py
+++ b/src/godwitmast/config/patch.py
@@ -1,4 +1,4 @@
-"""JSON merge patches (RFC 7386) and what differs between two documents."""
+"""JSON merge patches (RFC 7386) and differences between two documents."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 def merge_patch(target: Json, patch: Json) -> Json:
-    """Return `target` with `patch` merged in; neither is changed."""
+    """Return `target` with `patch` applied; neither argument is modified."""
     if not isinstance(patch, dict):
         return patch
     merged = dict(target) if isinstance(target, dict) else {}
@@ -20,7 +20,7 @@
 
 
 class Difference(NamedTuple):
-    """A place where two documents differ; None stands for nothing there."""
+    """A path at which two documents differ; None means that there is no value."""
 
     path: str
     before: Json
@@ -28,7 +28,7 @@
 
 
 def differences(before: Json, after: Json, path: str = "") -> Iterator[Difference]:
-    """Yield where two documents differ, in the order of their paths."""
+    """Yield the differences between two documents, in order of their paths."""
     if not (isinstance(before, dict) and isinstance(after, dict)):
         if before != after:
             yield Difference(path, before, after)
@@ -49,7 +49,7 @@
 
 
 def overlap(ours: set[str], theirs: set[str]) -> list[str]:
-    """Return the paths of `ours` that equal, hold or lie in one of `theirs`."""
+    """Return the paths of `ours` that equal, contain or lie in one of `theirs`."""
     return sorted(
         one
         for one in ours
--- a/src/godwitmast/config/rows.py
+++ b/src/godwitmast/config/rows.py
@@ -1,7 +1,7 @@
-"""Where the configuration stands in the platform's table and objects.
+"""The layout of the configuration in the platform's table and objects.
 
-The head row is small, since every node reads it all the time. A change is a row of
-its own, and a whole document is an object, written now and then.
+The head row is small, since every node polls it. Each change is a row of its own, and
+a whole document is stored as an object every so many changes.
 """
 
 from typing import NamedTuple, TypeVar
@@ -14,7 +14,7 @@
 T = TypeVar("T")
 
 HEAD_KEY = "config/head"
-"""The row with the number in force and where the newest snapshot is."""
+"""The row with the version in force and the name of the newest snapshot."""
 
 DELTA_PREFIX = "config/delta/"
 PATCH_PREFIX = "config/patch/"
@@ -24,7 +24,7 @@
 
 
 class Head(NamedTuple):
-    """The number in force, and the newest snapshot at or below it."""
+    """The version in force, and the newest snapshot at or below it."""
 
     number: int
     snapshot: str
@@ -43,33 +43,33 @@
 
 
 class Snapshot(NamedTuple):
-    """A whole document with its number."""
+    """A whole document with its version."""
 
     number: int
     document: Json
 
 
 def delta_key(number: int) -> str:
-    """Return the key of a change; keys sort as their numbers do."""
+    """Return the key of a change's row; keys sort by number."""
     return f"{DELTA_PREFIX}{number:0{NUMBER_DIGITS}}"
 
 
 def patch_key(patch_id: str) -> str:
-    """Return the key that tells which number a patch became."""
+    """Return the key of the row that holds the version a patch was accepted as."""
     return f"{PATCH_PREFIX}{patch_id}"
 
 
 def snapshot_name(number: int, patch_id: str) -> str:
-    """Return a snapshot's name, which two racing patches never share."""
+    """Return a snapshot's name, different for two patches that race for one version."""
     return f"{SNAPSHOT_PREFIX}{number:0{NUMBER_DIGITS}}-{patch_id}"
 
 
 def read_row(value: Json, shape: type[T]) -> T:
-    """Return a row's value as `shape`, or raise ConfigInvalid."""
+    """Return a row's value as `shape`, or raise ConfigInvalid if fields differ."""
     try:
         return shape(**value)
     except TypeError as error:
-        raise ConfigInvalid(f"not a {shape.__name__}: {error}") from None
+        raise ConfigInvalid(f"row is not a valid {shape.__name__}: {error}") from None
 
 
 def encode_snapshot(snapshot: Snapshot) -> bytes:
@@ -81,13 +81,13 @@
 
 
 def first_objects(document: Json) -> dict[str, bytes]:
-    """Return the objects of a first configuration; write them before the rows."""
+    """Return the objects of a first configuration, to be written before its rows."""
     name = snapshot_name(1, "first")
     return {name: encode_snapshot(Snapshot(1, document))}
 
 
 def first_rows(document: Json) -> dict[str, Json]:
-    """Return the rows of a first configuration, each written if there is none."""
+    """Return the rows of a first configuration, to be written if there is none."""
     head = Head(1, snapshot_name(1, "first"), 1)
     delta = Delta(1, document, "first", reason="first configuration")
     return {
