--- a/src/godwitmast/usage/duty.py
+++ b/src/godwitmast/usage/duty.py
@@ -1,4 +1,4 @@
-"""Freezes and reports usage windows under a lease."""
+"""The duty that freezes and reports usage windows, under a lease."""
 
 from dataclasses import dataclass
 from typing import Any, NamedTuple
@@ -19,40 +19,40 @@
     Frozen,
     NotDue,
     UsageTiming,
-    begin_windows,
-    drop,
+    create_head,
     freeze_next,
     mark_reported,
     next_report,
+    remove_row,
 )
 
-CHECK_EVERY_S = 2.0
-SHORTEST_WAIT_S = 0.25
-"""Between two looks at entries that have not written past a window yet."""
+CHECK_INTERVAL_S = 2.0
+MIN_WAIT_S = 0.25
+"""Between two checks for entries that have not written past a window yet."""
 
 REPORT_TIMEOUT_S = 2.0
-"""Shorter than any lease's guard: a report that is out when the lease lapses has
-arrived or failed before the next holder sends one."""
+"""Shorter than the guard time of any lease: a report that is in flight when the lease
+expires has arrived or failed before the next holder sends one."""
 
 
 @dataclass
-class Watched:
-    """A journal's row and since when it has stood still, on this process's clock."""
+class WatchedRow:
+    """An entry's row, and since when it is unchanged by this process's clock."""
 
     row: NodeRow
     version: int
     since: float
 
 
-class Marked(NamedTuple):
-    """The last window that the table has as reported, and the version of that row."""
+class LastReported(NamedTuple):
+    """The last window that the table records as reported, and that row's version."""
 
     start: int
     version: int
 
 
 class UsageDuty:
-    """The one reporter of usage."""
+    """Freezes usage windows and reports them to the intake, while it holds the lease."""
 
     name = "usage"
 
@@ -69,16 +69,17 @@
         self.clock = clock
         self.timing = timing
         self.report_timeout_s = report_timeout_s
-        # Windows go by the time that all processes agree on; whether the lease is held
-        # is asked by the clocks that the lease was taken by, which notice a suspension.
+        # Windows follow the time of day that all processes agree on. Whether the lease
+        # is held is checked by the clocks that it was acquired by, which show a
+        # suspension of the process.
         self.true_time = true_time or clock
-        self.watched: dict[str, Watched] = {}
-        self.table_back_at = 0.0
-        self.table_away = False
+        self.watched_rows: dict[str, WatchedRow] = {}
+        self.table_recovered_at = 0.0
+        self.table_unreachable = False
         self.wait_s = 0.0
-        self.owes_report = True
-        self.fresh: dict[int, DueReport] = {}
-        self.marked: Marked | None = None
+        self.report_pending = True
+        self.unreported: dict[int, DueReport] = {}
+        self.last_reported: LastReported | None = None
         self.late_windows = Counter(
             "godwit_usage_late_windows",
             "Windows that hold usage of earlier ones.",
@@ -91,17 +92,17 @@
         )
 
     async def run(self, guard: Guard) -> None:
-        """Freeze what is due, and report what is frozen.
+        """Freeze the windows that are due, and report the frozen ones.
 
-        A new holder at first closes no entry's row, as after an outage: the lease may
-        have lapsed in one, and what the entries kept during it is written now.
+        A new holder at first seals no entry's row, as after an outage: the lease may
+        have expired in one, and entries are writing what they buffered during it.
         """
-        self.watched.clear()
-        self.fresh.clear()
-        self.marked = None
-        self.owes_report = True
-        self.table_back_at = self.clock.now()
-        steps = begin_windows(guard.checks, self.true_time.wall(), self.timing.window_s)
+        self.watched_rows.clear()
+        self.unreported.clear()
+        self.last_reported = None
+        self.report_pending = True
+        self.table_recovered_at = self.clock.now()
+        steps = create_head(guard.checks, self.true_time.wall(), self.timing.window_s)
         await run_steps(self.platform, steps)
         watch_at = 0.0
         while True:
@@ -110,99 +111,101 @@
             now = self.clock.now()
             if now >= watch_at:
                 watch_at = now + self.watch_s
-                await self.watch(guard)
+                await self.watch_rows(guard)
             await anyio.sleep(self.next_wait())
 
     def next_wait(self) -> float:
-        """Return how long to sleep: till a window is due, unless something is owed."""
-        often = min(CHECK_EVERY_S, self.watch_s)
-        if self.table_away or self.owes_report:
-            return often
-        return max(SHORTEST_WAIT_S, min(self.wait_s, self.watch_s))
+        """Return the seconds to sleep: until a window is due, less if work is pending."""
+        check_s = min(CHECK_INTERVAL_S, self.watch_s)
+        if self.table_unreachable or self.report_pending:
+            return check_s
+        return max(MIN_WAIT_S, min(self.wait_s, self.watch_s))
 
     @property
     def watch_s(self) -> float:
-        """Return how often the entries' rows are looked at for their loads."""
+        """Return the seconds between reads of the entries' rows, for their loads."""
         return self.timing.window_s / 4
 
     async def freeze(self, guard: Guard) -> bool:
         """Freeze every window that is due; return whether the table answered."""
         while True:
-            back_s = self.clock.now() - self.table_back_at
+            since_recovery_s = self.clock.now() - self.table_recovered_at
             steps = freeze_next(
                 guard.checks,
                 self.true_time.wall(),
                 self.timing,
-                may_close=back_s >= self.timing.back_s,
+                may_seal=since_recovery_s >= self.timing.recovery_s,
             )
             match await run_steps(self.platform, steps):
                 case Frozen() as frozen:
-                    self.note_frozen(frozen)
+                    self.record_frozen(frozen)
                 case NotDue(wait_s):
-                    self.note_table(True)
+                    self.record_table_contact(True)
                     self.wait_s = wait_s
                     return True
                 case _:
-                    # It may be frozen all the same, and is then not known here.
-                    self.owes_report = True
-                    self.note_table(False)
+                    # The window may be frozen all the same, unknown to this process.
+                    self.report_pending = True
+                    self.record_table_contact(False)
                     return False
 
-    def note_frozen(self, frozen: Frozen) -> None:
-        """Keep a window until it is reported: the table may be away by then."""
-        for run in frozen.closed:
+    def record_frozen(self, frozen: Frozen) -> None:
+        """Keep a window until it is reported, in case the table becomes unreachable."""
+        for run in frozen.sealed:
             log_event("usage_sealed", level="WARNING", run=run)
         start, late = frozen.start, frozen.late
         log_event("usage_frozen", window=start, runs=frozen.runs, late=late)
         self.late_windows.inc(int(late))
         if frozen.window is not None:
-            self.fresh[start] = DueReport(frozen.window, frozen.digest, 0)
-        self.owes_report = True
-        self.note_table(True)
+            self.unreported[start] = DueReport(frozen.window, frozen.digest, 0)
+        self.report_pending = True
+        self.record_table_contact(True)
 
     def loads(self) -> list[dict[str, Any]]:
-        """Return what each entry that runs said of its load; empty if not known."""
-        return [w.row.load for w in self.watched.values() if not w.row.ended]
+        """Return the last reported load of each running entry; empty if unknown."""
+        return [w.row.load for w in self.watched_rows.values() if not w.row.ended]
 
-    def note_table(self, answered: bool) -> None:
-        if answered and self.table_away:
-            self.table_back_at = self.clock.now()
-        self.table_away = not answered
+    def record_table_contact(self, answered: bool) -> None:
+        if answered and self.table_unreachable:
+            self.table_recovered_at = self.clock.now()
+        self.table_unreachable = not answered
 
     async def report(self, guard: Guard) -> None:
-        """Send every window that is frozen and not confirmed, oldest first."""
-        while self.owes_report:
-            due: DueReport | Failure | None = self.next_fresh()
+        """Send every frozen window that the intake has not confirmed, oldest first."""
+        while self.report_pending:
+            due: DueReport | Failure | None = self.next_unreported()
             if due is None:
                 due = await run_steps(self.platform, next_report(self.timing.window_s))
             if not isinstance(due, DueReport):
-                # None says that all is reported; after a failure it is asked again.
-                self.owes_report = due is not None
+                # None means that all windows are reported; a failure is retried.
+                self.report_pending = due is not None
                 return
             if not await self.send(guard, due):
                 return
-            self.fresh.pop(due.window.start, None)
+            self.unreported.pop(due.window.start, None)
             version = await run_steps(self.platform, mark_reported(guard.checks, due))
             if version is None:
-                self.marked = None
+                self.last_reported = None
                 return
-            self.marked = Marked(due.window.start, version)
-            self.owes_report = bool(self.fresh)
+            self.last_reported = LastReported(due.window.start, version)
+            self.report_pending = bool(self.unreported)
             self.lag.set(self.true_time.wall() - due.window.end)
 
-    def next_fresh(self) -> DueReport | None:
-        """Return the window after the last one reported, if it was frozen here.
+    def next_unreported(self) -> DueReport | None:
+        """Return the window after the last reported one, if this process froze it.
 
-        It is reported without a look at the table, which would cost three calls and may
-        have gone away since.
+        It can be reported without reading the table, which would cost three calls and
+        may have become unreachable since.
         """
-        if self.marked is None:
+        if self.last_reported is None:
             return None
-        due = self.fresh.get(self.marked.start + self.timing.window_s)
-        return due._replace(reported_version=self.marked.version) if due else None
+        due = self.unreported.get(self.last_reported.start + self.timing.window_s)
+        return (
+            due._replace(reported_version=self.last_reported.version) if due else None
+        )
 
     async def send(self, guard: Guard, due: DueReport) -> bool:
-        """Send one window's frozen figures; return whether the intake has them."""
+        """Send one window's frozen figures; return whether the intake accepted them."""
         report = {**due.window._asdict(), "digest": due.digest}
         fence = guard.fence_if_held(self.clock.now(), self.clock.wall())
         if fence is None:
@@ -216,31 +219,32 @@
         log_event("usage_reported", window=due.window.start, digest=due.digest[:12])
         return True
 
-    async def watch(self, guard: Guard) -> None:
-        """Take the entries' loads, and drop the rows of ended ones in the end.
+    async def watch_rows(self, guard: Guard) -> None:
+        """Read the entries' rows for their loads, and remove those of ended runs.
 
-        Only this clock counts, from when the row was first seen as it is; while the
-        table is away nothing can be told of an entry, so every watch starts anew.
+        A row's age counts by this process's clock, from when the row was first read
+        with its current version. While the table is unreachable nothing is known of
+        the entries, so all ages start again after it.
         """
         found = await run_steps(self.platform, scan_nodes())
-        if found is None or self.table_away:
-            self.watched.clear()
+        if found is None or self.table_unreachable:
+            self.watched_rows.clear()
             return
         now = self.clock.now()
         rows = {
-            key: Watched(load_node(r.value), r.version, now)
+            key: WatchedRow(load_node(r.value), r.version, now)
             for key, r in found.rows.items()
         }
         for key, seen in rows.items():
-            old = self.watched.get(key)
+            old = self.watched_rows.get(key)
             if old is not None and old.version == seen.version:
                 seen.since = old.since
-        self.watched = rows
+        self.watched_rows = rows
         for seen in list(rows.values()):
-            still = now - seen.since
-            if seen.row.ended and still >= self.timing.keep_s:
+            unchanged_s = now - seen.since
+            if seen.row.ended and unchanged_s >= self.timing.keep_s:
                 await run_steps(
-                    self.platform, drop(guard.checks, seen.row, seen.version)
+                    self.platform, remove_row(guard.checks, seen.row, seen.version)
                 )
 
 
--- a/src/godwitmast/usage/journal.py
+++ b/src/godwitmast/usage/journal.py
@@ -1,9 +1,10 @@
-"""An entry's usage until it is frozen into windows, without I/O.
+"""The journal of an entry's usage that is not in a frozen window yet, without I/O.
 
-The row in the table is cumulative within each window, so a write that is lost, late
-or repeated changes no figure. Every write is a compare-and-set: whoever freezes
-windows may seal the row of an entry that has gone silent, and an entry that was only
-paused then finds out, and goes on under a new incarnation with what is left.
+The row in the table is cumulative within each window, so a lost, late or repeated write
+changes no figure. Every write is a compare-and-set, since the holder of the usage duty
+may seal the row of an entry that has stopped writing. An entry that was only paused
+then finds its row sealed, and continues under a new incarnation with the usage that the
+sealed row lacks.
 """
 
 import secrets
@@ -25,22 +26,22 @@
 )
 
 MAX_SEGMENTS = 64
-"""Windows kept apart during an outage; past that the oldest unsent ones are added up.
+"""Windows kept apart during an outage; beyond that the oldest unsent ones are merged.
 
-With it the journal holds at most teams x classes x pools x 64 sums, however long the
-table is away.
+Bounds the journal to teams x classes x pools x 64 sums, however long the table is
+unreachable.
 """
 
 
-class Flushed(Enum):
-    """What became of writing the journal's row."""
+class FlushOutcome(Enum):
+    """The outcome of writing the journal's row."""
 
     WRITTEN = "written"
     NOT_DONE = "not_done"
     UNSURE = "unsure"
-    """The same row is sent again until it is known to be there."""
+    """The outcome is unknown; the same row is sent again until it is known to be stored."""
     SEALED = "sealed"
-    """The row was closed by another; the rest goes under a new incarnation."""
+    """The row was sealed by the duty's holder; the rest goes under a new incarnation."""
 
 
 class Journal:
@@ -60,16 +61,16 @@
         self.window = 0
         self.segments: dict[int, Sums] = {}
         self.merged = 0
-        self.begin()
+        self.start_incarnation()
 
-    def begin(self) -> None:
-        """Take a new incarnation, whose row does not exist yet."""
+    def start_incarnation(self) -> None:
+        """Start a new incarnation, whose row does not exist yet."""
         self.incarnation = f"{self.node}.{self.new_id()}"
         self.sequence = 0
         self.version = 0
-        self.offered = -1
+        self.highest_sent = -1
         self.pending: NodeRow | None = None
-        self.unsure = False
+        self.outcome_unknown = False
         self.last: NodeRow | None = None
 
     @property
@@ -77,45 +78,52 @@
         return node_key(self.incarnation)
 
     def add(self, key: UsageKey, increment: UsageSum, wall: float) -> None:
-        """Count an increment in the window of `wall`."""
-        self.enter_window(wall)
+        """Add an increment to the window that contains `wall`."""
+        self.advance_window(wall)
         sums = self.segments.setdefault(self.window, {})
         sums[key] = sums.get(key, UsageSum()).plus(increment)
 
-    def enter_window(self, wall: float) -> None:
-        """Move to the window of `wall`; a clock that went back does not go back."""
+    def advance_window(self, wall: float) -> None:
+        """Advance to the window that contains `wall`; never go back if the clock does."""
         self.window = max(self.window, int(wall // self.window_s) * self.window_s)
         self.merge_oldest()
 
     def merge_oldest(self) -> None:
-        """Bound the number of windows that an outage keeps here.
+        """Bound the number of windows that are buffered during an outage.
 
-        Only windows that were never offered to the table are added up. One that was
-        may be frozen already, and would be billed again under the other's name.
+        Only windows that were never sent to the table are merged. One that was sent may
+        be frozen already, and would be billed again as part of the other.
         """
         while len(self.segments) > MAX_SEGMENTS:
-            offered = self.offered
+            highest_sent = self.highest_sent
             if self.pending is not None:
-                offered = max([offered, *self.pending.segments])
-            unsent = sorted(label for label in self.segments if label > offered)
+                highest_sent = max([highest_sent, *self.pending.segments])
+            unsent = sorted(
+                window_start
+                for window_start in self.segments
+                if window_start > highest_sent
+            )
             if len(unsent) < 2:
                 return
             add_sums(self.segments[unsent[1]], self.segments.pop(unsent[0]))
             self.merged += 1
 
     def make_row(self, wall: float, config: int, load: Any, ended: bool) -> NodeRow:
-        """Return the row to write, or the earlier one whose outcome is not known."""
+        """Return the row to write, or the earlier one whose outcome is unknown."""
         if self.pending is not None:
             return self.pending
-        self.enter_window(wall)
+        self.advance_window(wall)
         self.sequence += 1
-        segments = {label: dict(sums) for label, sums in self.segments.items()}
+        segments = {
+            window_start: dict(sums) for window_start, sums in self.segments.items()
+        }
         window = self.window
         if self.version == 0:
-            # A run's first write only makes its row. If its answer is lost, and the
-            # row is sealed, taken and dropped before this process looks again, then
-            # the same write would make the row anew, and its figures count twice.
-            # It says no window final whose figures only the next write brings.
+            # A run's first write only creates its row, without figures. If its answer
+            # is lost, and the row is sealed, billed and removed before this process
+            # reads it, repeating the write would create the row again, and figures
+            # in it would count twice. The row must not declare a window final whose
+            # figures come only with the next write.
             window = min(segments, default=window)
             segments, ended = {}, False
         self.pending = NodeRow(
@@ -137,92 +145,94 @@
         config: int = 0,
         load: Any = None,
         ended: bool = False,
-        beside: dict[str, Any] | None = None,
-    ) -> Steps[Flushed]:
-        """Write everything that is not frozen yet to this incarnation's row.
+        extra_rows: dict[str, Any] | None = None,
+    ) -> Steps[FlushOutcome]:
+        """Write all usage that is not frozen yet to this incarnation's row.
 
-        The rows of `beside` go into the same transaction, as a node makes one write
-        for all that it has to say.
+        The rows of `extra_rows` are written in the same transaction, so that a node
+        needs one write for everything it publishes.
         """
         row = self.make_row(wall, config, load or {}, ended)
-        writes = {self.key: dump_node(row), **(beside or {})}
+        writes = {self.key: dump_node(row), **(extra_rows or {})}
         result = yield Transact({self.key: self.version}, writes)
         match result:
             case Written():
-                self.written(result.versions[self.key])
-                return Flushed.WRITTEN
+                self.record_written(result.versions[self.key])
+                return FlushOutcome.WRITTEN
             case Failure.NOT_DONE:
-                if not self.unsure:
+                if not self.outcome_unknown:
                     self.pending = None
-                return Flushed.NOT_DONE
+                return FlushOutcome.NOT_DONE
             case Failure.UNKNOWN:
-                self.unsure = True
-                self.offered = max([self.offered, *row.segments])
+                self.outcome_unknown = True
+                self.highest_sent = max([self.highest_sent, *row.segments])
             case Conflict():
                 pass
-        return (yield from self.settle())
+        return (yield from self.resolve_outcome())
 
-    def written(self, version: int) -> None:
-        assert self.pending is not None, "what was written was pending"
+    def record_written(self, version: int) -> None:
+        assert self.pending is not None, "only a pending row can be recorded as written"
         self.version = version
-        self.offered = max([self.offered, *self.pending.segments])
-        self.last, self.pending, self.unsure = self.pending, None, False
+        self.highest_sent = max([self.highest_sent, *self.pending.segments])
+        self.last, self.pending, self.outcome_unknown = self.pending, None, False
 
-    def settle(self) -> Steps[Flushed]:
-        """Find out by reading what became of the pending row."""
+    def resolve_outcome(self) -> Steps[FlushOutcome]:
+        """Read the row to find out whether the pending one was written."""
         found = yield Read([self.key])
         if not isinstance(found, Rows):
-            self.unsure = True
-            return Flushed.UNSURE
+            self.outcome_unknown = True
+            return FlushOutcome.UNSURE
         if self.key not in found.rows:
             if self.version == 0:
-                return Flushed.UNSURE
-            # Sealed, taken and cleaned up while this process was away. Whether the
-            # pending row was the one taken is no longer known; that it was is
-            # assumed, since billing it again would be the worse error.
-            self.go_on_after(self.pending or self.last)
-            return Flushed.SEALED
+                return FlushOutcome.UNSURE
+            # Sealed, billed and removed while this process was suspended or cut off.
+            # Whether the pending row was the one billed is no longer known. Assume
+            # that it was, since billing usage twice is worse than losing it.
+            self.continue_after(self.pending or self.last)
+            return FlushOutcome.SEALED
         row = load_node(found.value(self.key))
         if row.sealed:
-            self.go_on_after(row)
-            return Flushed.SEALED
-        assert self.pending is not None, "a row is settled while it is pending"
+            self.continue_after(row)
+            return FlushOutcome.SEALED
+        assert self.pending is not None, "only the outcome of a pending row is resolved"
         if row.sequence == self.pending.sequence:
-            self.written(found.version(self.key))
-            return Flushed.WRITTEN
+            self.record_written(found.version(self.key))
+            return FlushOutcome.WRITTEN
         self.version = found.version(self.key)
-        return Flushed.UNSURE
+        return FlushOutcome.UNSURE
 
-    def go_on_after(self, taken: NodeRow | None) -> None:
-        """Keep what `taken` does not hold, under a new incarnation."""
-        for label, sums in (taken.segments if taken else {}).items():
-            if label in self.segments:
-                left = subtract_sums(self.segments.pop(label), sums)
-                if left:
-                    self.segments[label] = left
-        self.begin()
+    def continue_after(self, billed: NodeRow | None) -> None:
+        """Keep the usage that `billed` does not include, under a new incarnation."""
+        for window_start, sums in (billed.segments if billed else {}).items():
+            if window_start in self.segments:
+                remaining = subtract_sums(self.segments.pop(window_start), sums)
+                if remaining:
+                    self.segments[window_start] = remaining
+        self.start_incarnation()
 
     @property
-    def holds_all(self) -> bool:
-        """Return whether the table holds all that this journal does."""
+    def is_fully_written(self) -> bool:
+        """Return whether the table holds all usage in this journal."""
         if self.pending is not None or self.last is None:
             return not self.segments
         return self.last.segments == self.segments
 
-    def forget(self, head: UsageHead) -> None:
-        """Drop the windows that are frozen."""
+    def drop_frozen(self, head: UsageHead) -> None:
+        """Drop the segments of frozen windows."""
         mark = head.marks.get(self.incarnation, -1)
-        for label in [label for label in self.segments if label <= mark]:
-            del self.segments[label]
+        for window_start in [
+            window_start for window_start in self.segments if window_start <= mark
+        ]:
+            del self.segments[window_start]
 
-    def closed_before(self, wall: float, age_s: float) -> bool:
-        """Return whether a window is held that ended longer than `age_s` ago."""
+    def has_window_older_than(self, wall: float, age_s: float) -> bool:
+        """Return whether the journal holds a window that ended over `age_s` seconds ago."""
         limit = wall - self.window_s - age_s
-        return any(label < limit for label in self.segments)
+        return any(window_start < limit for window_start in self.segments)
 
 
 def read_marks() -> Steps[UsageHead | None]:
-    """Return how far the windows are frozen, or None if that cannot be read."""
+    """Return how far windows are frozen, or None if the head row cannot be read."""
     found = yield Read([HEAD_KEY])
     if not isinstance(found, Rows) or found.value(HEAD_KEY) is None:
         return None
--- a/src/godwitmast/usage/meter.py
+++ b/src/godwitmast/usage/meter.py
@@ -1,4 +1,4 @@
-"""Counts what callers were given, by team, class and pool."""
+"""Usage counters: requests and tokens by team, class and pool."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class UsageKey(NamedTuple):
-    """What a count is kept by."""
+    """The dimensions of a usage counter."""
 
     team: str
     class_name: str
@@ -15,7 +15,7 @@
 
 
 class UsageSum(NamedTuple):
-    """Requests and tokens, added up."""
+    """A sum of requests and tokens."""
 
     requests: int = 0
     prompt_tokens: int = 0
@@ -31,34 +31,34 @@
 Sums = dict[UsageKey, UsageSum]
 
 
-def add_sums(into: Sums, more: Sums) -> None:
-    """Add `more` to `into`, key by key."""
-    for key, value in more.items():
+def add_sums(into: Sums, increments: Sums) -> None:
+    """Add `increments` to `into`, key by key."""
+    for key, value in increments.items():
         into[key] = into.get(key, UsageSum()).plus(value)
 
 
 def subtract_sums(whole: Sums, part: Sums) -> Sums:
-    """Return what is left of `whole`; keys with nothing left are dropped."""
-    left = {key: s.minus(part.get(key, UsageSum())) for key, s in whole.items()}
-    return {key: value for key, value in left.items() if any(value)}
+    """Return `whole` minus `part`, without keys whose difference is zero."""
+    remaining = {key: s.minus(part.get(key, UsageSum())) for key, s in whole.items()}
+    return {key: value for key, value in remaining.items() if any(value)}
 
 
 class Meter:
-    """Cumulative counts of this process; listeners get each increment."""
+    """Cumulative counters of this process; listeners receive each increment."""
 
     def __init__(self) -> None:
         self.sums: Sums = {}
         self.listeners: list[Callable[[UsageKey, UsageSum], None]] = []
 
     def began(self, key: UsageKey) -> None:
-        """Count a request on which a backend server has begun."""
+        """Count a request that a backend server has started on."""
         self.count(key, UsageSum(requests=1))
 
     def add(self, key: UsageKey, tokens: TokenCount) -> None:
-        """Count the tokens of a request that ended, apart from its beginning.
+        """Count the tokens of a request that ended.
 
-        A request belongs to the window in which it began, its tokens to that in which
-        they are known.
+        The request itself was counted when it started: it belongs to the window in
+        which it started, its tokens to the one in which their number is known.
         """
         self.count(key, UsageSum(0, tokens.prompt, tokens.output))
 
--- a/src/godwitmast/usage/rows.py
+++ b/src/godwitmast/usage/rows.py
@@ -1,4 +1,4 @@
-"""Where usage stands in the platform's table and objects."""
+"""The layout of usage in the platform's table and objects."""
 
 from typing import Any, NamedTuple
 
@@ -8,24 +8,24 @@
 from godwitmast.usage.meter import Sums, UsageKey, UsageSum
 
 NODE_PREFIX = "node/"
-"""One row for each run of an entry: its heartbeat, configuration, load and journal."""
+"""One row per run of an entry: its heartbeat, config version, load and journal."""
 
 HEAD_KEY = "usage/head"
-"""Which window was frozen last, and how much of each journal was taken by then."""
+"""The row with the last frozen window, and how far each journal is in windows."""
 
 REPORTED_KEY = "usage/reported"
-"""Which window the intake took last."""
+"""The row with the last window that the intake accepted."""
 
 WINDOW_PREFIX = "usage/window/"
 WINDOW_DIGITS = 12
 
 
 class NodeRow(NamedTuple):
-    """What an entry writes of itself every few seconds, all in one.
+    """The row that an entry writes about itself every few seconds.
 
     `segments` holds its usage by the start of the window, in seconds since the epoch.
-    `window` is the one that it still adds to: all earlier ones are final. `ended` says
-    that all are, because the entry stopped or the row was sealed.
+    `window` is the window that the entry still adds to; all earlier ones are final. If
+    `ended`, all are final, because the entry stopped or its row was sealed.
     """
 
     node: str
@@ -39,13 +39,13 @@
     ended: bool = False
     sealed: bool = False
 
-    def final(self, label: int) -> bool:
-        """Return whether the segment can no longer grow."""
-        return self.ended or label < self.window
+    def is_final(self, window_start: int) -> bool:
+        """Return whether the segment of a window can no longer grow."""
+        return self.ended or window_start < self.window
 
 
 class UsageHead(NamedTuple):
-    """How far the windows are frozen; `marks` is the last window taken of each run."""
+    """The last frozen window; `marks` holds the last window collected from each run."""
 
     frozen: int
     marks: dict[str, int]
@@ -60,7 +60,7 @@
 
 
 def dump_sums(sums: Sums) -> list[list[Any]]:
-    """Return sums as they go into JSON: sorted, one list for each key."""
+    """Return sums in JSON form: sorted, one list for each key."""
     return [[*key, *value] for key, value in sorted(sums.items())]
 
 
@@ -80,9 +80,9 @@
 
 
 class FrozenWindow(NamedTuple):
-    """The figures of a window, which never change again.
+    """The final figures of a window.
 
-    `late` is the part of `figures` that belongs to earlier windows and came after
+    `late` is the part of `figures` that belongs to earlier windows and arrived after
     they were frozen.
     """
 
--- a/src/godwitmast/usage/windows.py
+++ b/src/godwitmast/usage/windows.py
@@ -1,8 +1,8 @@
-"""Windows: frozen once by compare-and-set, reported with the frozen figures.
+"""Usage windows: frozen once by compare-and-set, reported with the frozen figures.
 
-Every write here checks the lease, so that a deposed holder can neither freeze nor
-mark as reported; and a window's figures are what its object holds, never computed
-again.
+Every write here checks the lease, so a holder that has lost it can neither freeze a
+window nor mark one as reported. A window's figures are those in its stored object and
+are never computed again.
 """
 
 import hashlib
@@ -43,30 +43,32 @@
 Checks = dict[str, int]
 
 
-SETTLE_FLUSHES = 1.5
-"""Writes are jittered, and take a moment to arrive."""
+SETTLE_FLUSH_INTERVALS = 1.5
+"""More than one interval, since writes are jittered and take a moment to arrive."""
 
-LOOKS_A_SETTLE = 3
+CHECKS_PER_SETTLE_TIME = 3
 
-MISSED_WINDOWS = 1
-"""For how many windows an entry whose row was closed is waited for. After that it is
-taken for dead: a window that is frozen late may be late for good, as the table or the
-holder can go away meanwhile."""
+MAX_AWAITED_WINDOWS = 1
+"""Number of windows that wait for an entry whose row was sealed. After that it counts
+as dead: freezing late risks never freezing in time, since the table or the holder of
+the duty can fail meanwhile."""
 
-MISSED_SHARE = 0.6
-"""The part of the grace for which it is waited: more likely it is gone for good."""
+SEALED_GRACE_FRACTION = 0.6
+"""Fraction of the grace for which such an entry is awaited; shorter than for others,
+since it has more likely stopped for good."""
 
-BACK_FLUSHES = 2.0
-"""One write may still wait out its time-out as the table comes back."""
+RECOVERY_FLUSH_INTERVALS = 2.0
+"""More than one interval, since a write may still be waiting for its time-out when the
+table recovers."""
 
 
 class UsageTiming(NamedTuple):
-    """How usage is journalled and reported.
+    """The timing of the usage journal and of usage reports.
 
     A window is frozen as soon as every entry has written past its end, and at the
-    latest `grace_s` after it. The row of an entry that has not written since a window
-    ended is sealed `seal_s` after that end. A stopping entry tries for `stop_s` to
-    write its last row.
+    latest `grace_s` after its end. The row of an entry that has not written since a
+    window ended is sealed `seal_s` after that end. The row of a run that has ended is
+    removed after `keep_s`. A stopping entry retries its last write for up to `stop_s`.
     """
 
     window_s: int = 60
@@ -78,101 +80,101 @@
 
     @property
     def settle_s(self) -> float:
-        """Return how long after a window's end each entry should have written again."""
-        return min(self.grace_s, SETTLE_FLUSHES * self.flush_s)
+        """Return the seconds after a window's end by which every entry should have written."""
+        return min(self.grace_s, SETTLE_FLUSH_INTERVALS * self.flush_s)
 
     @property
-    def look_s(self) -> float:
-        """Return how often a window is looked at that waits for entries."""
-        return self.settle_s / LOOKS_A_SETTLE
+    def recheck_s(self) -> float:
+        """Return the seconds between checks of a window that waits for entries."""
+        return self.settle_s / CHECKS_PER_SETTLE_TIME
 
     @property
-    def back_s(self) -> float:
-        """Return how long entries need after an outage to write what they kept."""
-        return BACK_FLUSHES * self.flush_s
+    def recovery_s(self) -> float:
+        """Return the seconds that entries need after an outage to write buffered usage."""
+        return RECOVERY_FLUSH_INTERVALS * self.flush_s
 
 
 @dataclass(frozen=True, slots=True)
 class Frozen:
-    """A window was frozen; `late` says whether it holds usage of earlier ones.
+    """A window was frozen; `late` says whether it includes usage of earlier ones.
 
-    `closed` are the runs whose rows were closed for it. `window` and `digest` are what
-    its object holds, so that it can be reported while the table is away.
+    `sealed` are the runs whose rows were sealed for it. `window` and `digest` are the
+    content of its object, so that it can be reported while the table is unreachable.
     """
 
     start: int
     runs: int
     late: bool
-    closed: tuple[str, ...] = ()
+    sealed: tuple[str, ...] = ()
     window: FrozenWindow | None = field(default=None, compare=False)
     digest: str = field(default="", compare=False)
 
 
 @dataclass(frozen=True, slots=True)
 class NotDue:
-    """No window is ready to be frozen before `wait_s` has passed."""
+    """No window can be frozen before `wait_s` seconds have passed."""
 
     wait_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class NotWritten:
-    """The table is away, the lease is gone, or the outcome is to be read again."""
+    """The table is unreachable, the lease is lost, or the outcome is unknown."""
 
 
 FreezeOutcome = Frozen | NotDue | NotWritten
 
 
-class Gathered(NamedTuple):
-    """What a window takes from the journals, and how far each is then taken."""
+class CollectedWindow(NamedTuple):
+    """A window's figures, and for each run the last window collected from its journal."""
 
     window: FrozenWindow
     marks: dict[str, int]
     runs: int
 
 
-def gather(
+def collect_window(
     rows: Iterable[NodeRow], marks: dict[str, int], start: int, window_s: int
-) -> Gathered:
-    """Add up every final segment up to this window that no window has taken."""
+) -> CollectedWindow:
+    """Add up the final segments up to this window that no earlier window includes."""
     figures: Sums = {}
     late: Sums = {}
     marks = dict(marks)
     runs = 0
     for row in rows:
-        taken = marks.get(row.incarnation, -1)
-        for label, sums in row.segments.items():
-            if taken < label <= start and row.final(label):
+        last_collected = marks.get(row.incarnation, -1)
+        for window_start, sums in row.segments.items():
+            if last_collected < window_start <= start and row.is_final(window_start):
                 add_sums(figures, sums)
-                if label < start:
+                if window_start < start:
                     add_sums(late, sums)
                 runs += 1
-        # Of a journal that has not moved past this window, all before is taken.
-        last = start if row.final(start) else min(start, row.window - 1)
-        marks[row.incarnation] = max(taken, last)
+        # From a journal that is still in this window, only earlier ones are final.
+        last = start if row.is_final(start) else min(start, row.window - 1)
+        marks[row.incarnation] = max(last_collected, last)
     window = FrozenWindow(start, start + window_s, dump_sums(figures), dump_sums(late))
-    return Gathered(window, marks, runs)
+    return CollectedWindow(window, marks, runs)
 
 
 def freeze_next(
-    lease: Checks, wall: float, timing: UsageTiming, may_close: bool = True
+    lease: Checks, wall: float, timing: UsageTiming, may_seal: bool = True
 ) -> Steps[FreezeOutcome]:
-    """Freeze the next window if every entry is past it, or its time is up.
+    """Freeze the next window if every entry has written past it or its grace is over.
 
-    Load pattern: entries die, freeze, or are turned away by the table for seconds, and
-    so does the holder of this duty. Frozen early, a window does not depend on who holds
-    the duty at one late moment; waited for, it holds what an entry could write only
-    seconds after its end.
+    Load pattern: entries, and the holder of this duty too, crash, are suspended, or are
+    refused by the table for seconds. Freezing as early as possible avoids depending on
+    one holder at a late moment. Waiting for entries includes usage that an entry could
+    write only seconds after the window's end.
 
-    Entries that are silent may only be closed if `may_close`: just after an outage of
-    the table they write what they kept.
+    Rows of entries that have stopped writing may be sealed only if `may_seal`: just
+    after an outage of the table, entries are still writing the usage that they buffered.
     """
     found = yield Read([HEAD_KEY])
     if not isinstance(found, Rows):
         return NotWritten()
     width = timing.window_s
     if found.value(HEAD_KEY) is None:
-        yield from begin_windows(lease, wall, width)
+        yield from create_head(lease, wall, width)
         return NotWritten()
     head = UsageHead(**found.value(HEAD_KEY))
     start = head.frozen + width
@@ -183,38 +185,41 @@
     if not isinstance(nodes, Rows):
         return NotWritten()
     rows = {key: load_node(row.value) for key, row in nodes.rows.items()}
-    behind = [key for key, row in rows.items() if not row.final(start)]
-    gone = [
+    unfinished = [key for key, row in rows.items() if not row.is_final(start)]
+    sealable = [
         key
-        for key in behind
-        if is_followed(rows[key], rows.values())
-        or (may_close and is_silent(rows[key], wall, timing))
+        for key in unfinished
+        if is_superseded(rows[key], rows.values())
+        or (may_seal and is_silent(rows[key], wall, timing))
     ]
-    lives = len(gone) < len(behind)
+    some_alive = len(sealable) < len(unfinished)
     late_s = wall - end
-    if lives and (late_s < timing.grace_s or not may_close):
-        return NotDue(timing.look_s)
-    if late_s < MISSED_SHARE * timing.grace_s and misses_entry(rows, start, width):
-        return NotDue(timing.look_s)
-    for key in gone:
-        if not (yield from seal(lease, rows[key], nodes.version(key))):
-            # It lives after all, or the lease is gone: the next look tells.
+    if some_alive and (late_s < timing.grace_s or not may_seal):
+        return NotDue(timing.recheck_s)
+    if late_s < SEALED_GRACE_FRACTION * timing.grace_s and awaits_sealed_entry(
+        rows, start, width
+    ):
+        return NotDue(timing.recheck_s)
+    for key in sealable:
+        if not (yield from seal_row(lease, rows[key], nodes.version(key))):
+            # The entry wrote meanwhile, or the lease is lost: read the rows again.
             return NotDue(0.0)
         rows[key] = rows[key]._replace(ended=True, sealed=True)
-    gathered = gather(rows.values(), head.marks, start, width)
+    collected = collect_window(rows.values(), head.marks, start, width)
     checks = {**lease, HEAD_KEY: found.version(HEAD_KEY)}
-    digest = yield from write_window(checks, gathered)
+    digest = yield from write_window(checks, collected)
     if digest is None:
         return NotWritten()
-    window, runs = gathered.window, gathered.runs
-    closed = tuple(rows[key].incarnation for key in gone)
-    return Frozen(start, runs, bool(window.late), closed, window, digest)
+    window, runs = collected.window, collected.runs
+    sealed = tuple(rows[key].incarnation for key in sealable)
+    return Frozen(start, runs, bool(window.late), sealed, window, digest)
 
 
-def begin_windows(lease: Checks, wall: float, width: int) -> Steps[bool]:
-    """Let the first window ever end now, if none has; what came before counts as late.
+def create_head(lease: Checks, wall: float, width: int) -> Steps[bool]:
+    """Create the head row, if there is none, so that the current window is the first.
 
-    Returns whether the table has a beginning, as far as is known.
+    Usage from before that window counts as late. Return whether the head row exists, as
+    far as is known.
     """
     start = int(wall // width) * width - width
     head = UsageHead(start, {})
@@ -222,43 +227,44 @@
     return isinstance(result, Written | Conflict)
 
 
-def misses_entry(rows: dict[str, NodeRow], start: int, width: int) -> bool:
-    """Return whether an entry whose row was closed may yet bring figures of a window.
+def awaits_sealed_entry(rows: dict[str, NodeRow], start: int, width: int) -> bool:
+    """Return whether an entry whose row was sealed may still add usage to this window.
 
-    One that was cut off for longer than the grace of one window is often back within
-    that of the next, which would lack its figures as well.
+    An entry that was disconnected for longer than the grace of one window often returns
+    within that of the next, which would otherwise lack its figures as well.
     """
-    oldest = start - MISSED_WINDOWS * width
+    first_awaited = start - MAX_AWAITED_WINDOWS * width
     return any(
         row.sealed
-        and oldest <= row.window <= start
-        and not is_followed(row, rows.values())
+        and first_awaited <= row.window <= start
+        and not is_superseded(row, rows.values())
         for row in rows.values()
     )
 
 
 def is_silent(row: NodeRow, wall: float, timing: UsageTiming) -> bool:
-    """Return whether an entry has not written since long after its row's window.
+    """Return whether `seal_s` have passed since the end of the last window of a row.
 
-    Its last figures could otherwise never be taken: they would be missing in their
-    window and come too late in the next. An entry that was only paused, cut off or
-    turned away finds its row sealed, and goes on under a new one with what the sealed
-    row does not hold.
+    Unless the row is sealed, the entry's last figures stay unbilled: missing from their
+    window and too late for the next. An entry that was only paused, disconnected or
+    refused by the table finds its row sealed, and continues under a new incarnation
+    with the usage that the sealed row lacks.
     """
     return wall >= row.window + timing.window_s + timing.seal_s
 
 
-def is_followed(row: NodeRow, rows: Iterable[NodeRow]) -> bool:
-    """Return whether a newer run of the same entry writes, so that this one is over."""
+def is_superseded(row: NodeRow, rows: Iterable[NodeRow]) -> bool:
+    """Return whether a newer run of the same entry has written, so this one has ended."""
     return any(o.node == row.node and o.window > row.window for o in rows)
 
 
-def write_window(checks: Checks, gathered: Gathered) -> Steps[str | None]:
-    """Make a window's figures final, and return their digest.
+def write_window(checks: Checks, collected: CollectedWindow) -> Steps[str | None]:
+    """Store a window's figures as final, and return their digest.
 
-    Only the first write of a window can; None for one that did not, as far as is known.
+    Only the first write of a window succeeds. Return None if this one did not, as far
+    as is known.
     """
-    window = gathered.window
+    window = collected.window
     content = encode_window(window)
     digest = hashlib.sha256(content).hexdigest()
     name = f"{window_key(window.start)}/{digest}"
@@ -266,7 +272,7 @@
     if isinstance(put, Failure):
         return None
     key = window_key(window.start)
-    head = UsageHead(window.start, gathered.marks)
+    head = UsageHead(window.start, collected.marks)
     result = yield Transact(
         {**checks, key: 0},
         {HEAD_KEY: head._asdict(), key: {"object": name, "digest": digest}},
@@ -275,7 +281,7 @@
 
 
 class DueReport(NamedTuple):
-    """A frozen window that the intake has not confirmed."""
+    """A frozen window that the usage intake has not confirmed."""
 
     window: FrozenWindow
     digest: str
@@ -283,7 +289,7 @@
 
 
 def next_report(window_s: int) -> Steps[DueReport | Failure | None]:
-    """Return the oldest frozen window that is to be sent, if one is; or a failure."""
+    """Return the oldest unreported frozen window, None if there is none, or a failure."""
     found = yield Read([HEAD_KEY, REPORTED_KEY])
     if not isinstance(found, Rows):
         return Failure.NOT_DONE
@@ -310,9 +316,10 @@
 
 
 def mark_reported(lease: Checks, due: DueReport) -> Steps[int | None]:
-    """Note that the intake took a window, and return the version of that note.
+    """Record that the intake accepted a window, and return that row's new version.
 
-    None if it was not noted as far as is known: the window is sent again then, alike.
+    None if the write failed or its outcome is unknown: the window is then sent again
+    with identical figures.
     """
     result = yield Transact(
         {**lease, REPORTED_KEY: due.reported_version},
@@ -321,25 +328,29 @@
     return result.versions[REPORTED_KEY] if isinstance(result, Written) else None
 
 
-def seal(lease: Checks, row: NodeRow, version: int) -> Steps[bool]:
-    """Close the journal of an entry that has gone silent.
+def seal_row(lease: Checks, row: NodeRow, version: int) -> Steps[bool]:
+    """Seal the row of an entry that has stopped writing.
 
-    Its last segment could otherwise never be taken. If the entry was only paused or
-    cut off, its next write fails on the changed row, and it goes on with the rest.
+    Its last segment could otherwise never be billed. If the entry was only paused or
+    disconnected, its next write fails on the changed row, and it continues under a new
+    incarnation with the rest.
     """
     key = node_key(row.incarnation)
-    closed = row._replace(ended=True, sealed=True)
-    result = yield Transact({**lease, key: version}, {key: dump_node(closed)})
+    sealed = row._replace(ended=True, sealed=True)
+    result = yield Transact({**lease, key: version}, {key: dump_node(sealed)})
     return isinstance(result, Written)
 
 
-def drop(lease: Checks, row: NodeRow, version: int) -> Steps[bool]:
-    """Remove the row and the mark of a run that ended and was taken whole."""
+def remove_row(lease: Checks, row: NodeRow, version: int) -> Steps[bool]:
+    """Remove the row and the mark of an ended run whose usage is all in frozen windows."""
     found = yield Read([HEAD_KEY])
     if not isinstance(found, Rows) or found.value(HEAD_KEY) is None:
         return False
     head = UsageHead(**found.value(HEAD_KEY))
-    if any(label > head.marks.get(row.incarnation, -1) for label in row.segments):
+    if any(
+        window_start > head.marks.get(row.incarnation, -1)
+        for window_start in row.segments
+    ):
         return False
     marks = {k: v for k, v in head.marks.items() if k != row.incarnation}
     key = node_key(row.incarnation)
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -21,7 +21,7 @@
     Transact,
 )
 from godwitmast.usage.duty import UsageDuty
-from godwitmast.usage.journal import MAX_SEGMENTS, Flushed, Journal
+from godwitmast.usage.journal import MAX_SEGMENTS, FlushOutcome, Journal
 from godwitmast.usage.meter import UsageKey, UsageSum
 from godwitmast.usage.rows import UsageHead, decode_window, load_node
 from godwitmast.usage.windows import (
@@ -78,7 +78,7 @@
     """
     platform = FakePlatform()
     journal = Journal("entry-1", "a", 60)
-    assert platform.run(journal.flush(0.0)) is Flushed.WRITTEN
+    assert platform.run(journal.flush(0.0)) is FlushOutcome.WRITTEN
     platform.away = True
     for minute in range(24 * 60):
         journal.add(KEY, UsageSum(1, 2, 3), minute * 60.0)
@@ -90,7 +90,7 @@
             steps.close()
     assert len(journal.segments) <= MAX_SEGMENTS + 1
     platform.away = False
-    while not (journal.last and journal.last.ended and journal.holds_all):
+    while not (journal.last and journal.last.ended and journal.is_fully_written):
         platform.run(journal.flush(90_000.0, ended=True))
     row = load_node(platform.table.read([journal.key])[journal.key].value)
     assert sum(sums[KEY].requests for sums in row.segments.values()) == 24 * 60
@@ -125,7 +125,7 @@
         self.write(journal, at)
         return journal
 
-    def write(self, journal: Journal, at: float) -> Flushed:
+    def write(self, journal: Journal, at: float) -> FlushOutcome:
         return self.platform.run(journal.flush(at))
 
     def freeze(self, at: float) -> FreezeOutcome:
@@ -172,8 +172,8 @@
     """A process is killed and started again; what it had written is billed in time."""
     killed = windows.entry("e1", 1005.0)
     windows.write(Journal("e1", "a", TIMING.window_s), 1011.0)
-    closed = (killed.incarnation,)
-    assert windows.freeze(1011.6) == Frozen(1000, 1, late=False, closed=closed)
+    sealed = (killed.incarnation,)
+    assert windows.freeze(1011.6) == Frozen(1000, 1, late=False, sealed=sealed)
     assert windows.billed() == 1
 
 
@@ -182,8 +182,8 @@
 ) -> None:
     dead = windows.entry("e1", 1005.0)
     assert isinstance(windows.freeze(1015.9), NotDue)
-    closed = (dead.incarnation,)
-    assert windows.freeze(1016.0) == Frozen(1000, 1, late=False, closed=closed)
+    sealed = (dead.incarnation,)
+    assert windows.freeze(1016.0) == Frozen(1000, 1, late=False, sealed=sealed)
     assert windows.billed() == 1
 
 
@@ -194,7 +194,7 @@
     entry = windows.entry("e1", 1005.0)
     entry.add(KEY, UsageSum(1, 2, 3), 1006.0)
     assert isinstance(windows.freeze(1016.0), Frozen)
-    assert windows.write(entry, 1017.0) is Flushed.SEALED
+    assert windows.write(entry, 1017.0) is FlushOutcome.SEALED
     windows.write(entry, 1018.0)
     windows.write(entry, 1021.0)
     windows.write(entry, 1022.0)
@@ -224,9 +224,9 @@
     made the window late, and nothing more could come of it."""
     killed = windows.entry("e1", 1005.0)
     windows.write(Journal("e1", "a", TIMING.window_s), 1020.0)
-    steps = freeze_next({}, 1020.1, TIMING, may_close=False)
-    closed = (killed.incarnation,)
-    assert windows.platform.run(steps) == Frozen(1000, 1, late=False, closed=closed)
+    steps = freeze_next({}, 1020.1, TIMING, may_seal=False)
+    sealed = (killed.incarnation,)
+    assert windows.platform.run(steps) == Frozen(1000, 1, late=False, sealed=sealed)
 
 
 def test_entries_are_not_closed_while_they_write_after_an_outage(
@@ -237,11 +237,11 @@
     entries = [windows.entry(f"e{n}", 1005.0) for n in range(2)]
     for entry in entries:
         entry.add(KEY, UsageSum(1, 2, 3), 1006.0)
-    steps = freeze_next({}, 1020.0, TIMING, may_close=False)
+    steps = freeze_next({}, 1020.0, TIMING, may_seal=False)
     assert isinstance(windows.platform.run(steps), NotDue)
     for entry in entries:
         windows.write(entry, 1020.5)
-    steps = freeze_next({}, 1021.0, TIMING, may_close=False)
+    steps = freeze_next({}, 1021.0, TIMING, may_seal=False)
     assert windows.platform.run(steps) == Frozen(1000, 2, late=False)
     assert windows.billed() == 4
 
@@ -259,7 +259,7 @@
     away.add(KEY, UsageSum(1, 2, 3), 1012.0)
     assert isinstance(windows.freeze(1022.0), Frozen)
     assert isinstance(windows.freeze(1022.1), NotDue)
-    assert windows.write(away, 1023.0) is Flushed.SEALED
+    assert windows.write(away, 1023.0) is FlushOutcome.SEALED
     windows.write(away, 1023.1)
     windows.write(away, 1023.2)
     assert windows.freeze(1023.3) == Frozen(1010, 1, late=False)
@@ -270,8 +270,8 @@
     stays = windows.entry("e1", 1005.0)
     away = windows.entry("e2", 1005.0)
     windows.write(stays, 1061.0)
-    closed = (away.incarnation,)
-    assert windows.freeze(1061.0) == Frozen(1000, 2, late=False, closed=closed)
+    sealed = (away.incarnation,)
+    assert windows.freeze(1061.0) == Frozen(1000, 2, late=False, sealed=sealed)
     for start in range(1010, 1050, 10):
         assert windows.freeze(1061.0) == Frozen(start, 0, late=False)
     windows.write(stays, 1071.0)
@@ -338,4 +338,4 @@
     windows.platform.away = False
     await duty.report(guard)
     assert intake.reports == [1000, 1010, 1010]
-    assert not duty.owes_report
+    assert not duty.report_pending
