--- a/src/godwitmast/platform_api/calls.py
+++ b/src/godwitmast/platform_api/calls.py
@@ -1,4 +1,4 @@
-"""Counts the calls to a platform by kind, for the metrics page."""
+"""The metric of platform calls, by kind of call."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -8,7 +8,7 @@
 
 
 class CallCounter(Collector):
-    """Calls that were made, also those without an answer."""
+    """Counts the calls that were sent, including those without an answer."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
--- a/src/godwitmast/platform_api/client.py
+++ b/src/godwitmast/platform_api/client.py
@@ -1,4 +1,4 @@
-"""The platform over HTTP."""
+"""The HTTP client of the platform."""
 
 import copy
 from types import TracebackType
@@ -39,9 +39,10 @@
         self.group: GroupCommit | None = None
 
     def in_bulk(self) -> "PlatformClient":
-        """Return this client for work that comes after control, in group commits.
+        """Return a client with bulk priority that batches transactions in group commits.
 
-        It shares connections, budget and breaker. Start its `group` before use.
+        It shares connections, budgets and circuit breaker with this one. Start its
+        `group` before use.
         """
         bulk = copy.copy(self)
         bulk.priority = Priority.BULK
@@ -63,14 +64,14 @@
         return self.writes if method == "PUT" or path in WRITE_PATHS else self.reads
 
     async def read(self, keys: list[str]) -> dict[str, Row]:
-        """Return the rows among `keys` that exist, as of one moment."""
+        """Return the rows among `keys` that exist, in one consistent read."""
         answer = await self.post("/table/read", {"keys": keys}, rows=len(keys))
         return {key: Row(**row) for key, row in answer.json()["rows"].items()}
 
     async def scan(self, prefix: str, after: str = "") -> dict[str, Row]:
-        """Return every row whose key starts with `prefix`, page by page.
+        """Return every row whose key starts with `prefix` and sorts after `after`.
 
-        With `after`, only those whose keys are past it.
+        Reads page by page.
         """
         rows: dict[str, Row] = {}
         while True:
@@ -92,7 +93,7 @@
     async def transact_alone(
         self, checks: dict[str, int], writes: dict[str, Json]
     ) -> TransactOutcome:
-        """Write in a transaction of its own."""
+        """Write in a transaction of its own, without group commit."""
         body = {"checks": checks, "writes": writes}
         answer = await self.post(
             "/table/transact", body, good=(200, 409), rows=len(writes)
@@ -101,22 +102,22 @@
         return Written(versions) if answer.status_code == 200 else Conflict(versions)
 
     async def fleet(self) -> list[FleetServer]:
-        """Return the backend servers that were ordered."""
+        """Return the backend servers that were ordered from the platform."""
         answer = await self.send("GET", "/fleet")
         return [FleetServer(**item) for item in answer.json()["servers"]]
 
     async def order(self, body: Json, timeout_s: float) -> httpx.Response:
-        """Give a backend server order; 409 says why it was not taken."""
+        """Send an order for backend servers; the body of a 409 says why it was refused."""
         good = (200, 409)
         return await self.send("POST", "/orders", good, json=body, timeout=timeout_s)
 
     async def vms(self) -> list[Vm]:
-        """Return the platform's list of VMs, which lags."""
+        """Return the platform's list of VMs, which is updated with a delay."""
         answer = await self.send("GET", "/vms")
         return [Vm(**item) for item in answer.json()["vms"]]
 
     async def report_usage(self, report: Json) -> None:
-        """Hand a usage report to the intake; it may be sent again, alike."""
+        """Send a usage report to the intake; an identical one may be sent again."""
         await self.post("/usage", report)
 
     async def get_object(self, name: str) -> bytes | None:
--- a/src/godwitmast/platform_api/feed.py
+++ b/src/godwitmast/platform_api/feed.py
@@ -1,4 +1,4 @@
-"""Follows a table of somebody else's that tells its changes."""
+"""The follower of an external table that has a change feed."""
 
 import random
 from collections.abc import Callable, Collection, Iterable
@@ -14,101 +14,107 @@
 from godwitmast.platform_api.port import Changes, Feed, FeedRow, HistoryLost, Snapshot
 
 WAIT_S = 10.0
-"""How long one call waits for a change. Keep-alive finds a connection that is silent. A
-call that the platform itself has swallowed is found when another one fails, or else only
-once its time is over; until then no change arrives."""
+"""How long one long-polling call waits for a change. TCP keepalive detects a dead
+connection. A call that the platform has dropped without closing the connection is
+detected when another call fails, or else only by its time-out; until then no change
+arrives."""
 
-RETRY_S = (0.2, 0.6)
-"""First and longest pause after a failed call, each drawn at random below one and a half
-times it. A change has to be in force within two seconds of the platform's return."""
+BACKOFF_S = (0.2, 0.6)
+"""First and longest backoff after a failed call, each with 50 % jitter. A
+change has to be in force within two seconds of the platform's recovery."""
 
 RETURN_GRACE_S = 2.0
-"""Rows that expired while the platform was away are written again within two seconds
-of its return by those that live."""
+"""Within two seconds of the platform's recovery, servers that are up have rewritten their
+rows that expired during the outage."""
 
-LAPSED_SHARE = 0.5
-"""From this part of the rows on, a loss is taken for an outage of the store, in which
-every row expires that outlasts it, and not for servers that left meanwhile. The others
-can do without fewer than that for two seconds."""
+LAPSED_FRACTION = 0.5
+"""Fraction of the rows. If at least this many were removed during an outage, the cause is
+taken to be an outage of the store, during which rows expire, and not servers that left.
+If fewer are removed wrongly, the other servers can carry the load for two seconds."""
 
 
 @dataclass
 class FeedView:
-    """A table's rows as far as they are known, without I/O.
-
-    Load pattern: the platform's store is away for longer than the rows of backend
-    servers last without a heartbeat. When it returns, its first answers say that every
-    server is gone, though all of them serve. Taken at its word, a whole fleet would
-    leave at once and every request be refused until the heartbeats come. So where a
-    good part of the rows was removed during an outage, they stay for `RETURN_GRACE_S`
-    after it. A few that are removed go at once, as does any that is removed later: it is
-    this process that was turned away, and their servers leave. Held for as long, they
-    got requests after they had left, while the others served.
+    """The last known rows of a table, without I/O.
+
+    Load pattern: the platform's store is unreachable for longer than the rows of
+    backend servers last without a heartbeat. Its first answers after recovery say that
+    every server is gone, although all of them are up. Removing them at once would empty
+    the whole fleet, and every request would be refused until the heartbeats arrive. So
+    if a large fraction of the rows was removed during an outage, they are kept for
+    `RETURN_GRACE_S` after it. Fewer are removed at once, as is any row that is removed
+    later: then the store refused only this process, and those servers have left. Kept
+    as long, their rows would attract requests after they had left, while the other
+    servers were available.
     """
 
     rows: dict[str, bytes] = field(default_factory=dict)
     version: int | None = None
     away_since: float | None = None
-    returned_at: float = float("-inf")
-    missing: set[str] = field(default_factory=set)
+    recovered_at: float = float("-inf")
+    lapsed_keys: set[str] = field(default_factory=set)
 
-    def failed(self, now: float) -> None:
-        """Note that the platform gave no answer."""
+    def record_failure(self, now: float) -> None:
+        """Record that the platform gave no answer."""
         if self.away_since is None:
             self.away_since = now
 
-    def answered(self, now: float) -> bool:
-        """Note that it gave one; return whether it had been away."""
-        was_away = self.away_since is not None
-        if was_away:
+    def record_answer(self, now: float) -> bool:
+        """Record an answer; return whether it ends an outage."""
+        ended_outage = self.away_since is not None
+        if ended_outage:
             self.away_since = None
-            self.returned_at = now
-        return was_away
+            self.recovered_at = now
+        return ended_outage
 
-    def replace(self, snapshot: Snapshot, now: float) -> None:
-        """Take all rows at once."""
-        was_away = self.answered(now)
+    def apply_snapshot(self, snapshot: Snapshot, now: float) -> None:
+        """Replace all rows by those of a snapshot."""
+        ended_outage = self.record_answer(now)
         self.version = snapshot.version
-        self.put(snapshot.rows)
-        self.drop(self.rows.keys() - {row.key for row in snapshot.rows}, was_away)
-
-    def change(self, changes: Changes, now: float) -> bool:
-        """Take changed rows; return whether there were any."""
-        was_away = self.answered(now)
+        self.put_rows(snapshot.rows)
+        self.remove_rows(
+            self.rows.keys() - {row.key for row in snapshot.rows}, ended_outage
+        )
+
+    def apply_changes(self, changes: Changes, now: float) -> bool:
+        """Apply changed rows; return whether there were any."""
+        ended_outage = self.record_answer(now)
         self.version = changes.version
-        self.put(changes.rows)
+        self.put_rows(changes.rows)
         last = {row.key: row.content for row in changes.rows}
-        self.drop({key for key, content in last.items() if content is None}, was_away)
+        self.remove_rows(
+            {key for key, content in last.items() if content is None}, ended_outage
+        )
         return bool(changes.rows)
 
-    def put(self, rows: Iterable[FeedRow]) -> None:
+    def put_rows(self, rows: Iterable[FeedRow]) -> None:
         for row in rows:
             if row.content is not None:
                 self.rows[row.key] = row.content
-                self.missing.discard(row.key)
+                self.lapsed_keys.discard(row.key)
 
-    def drop(self, keys: Collection[str], was_away: bool) -> None:
-        """Take out rows, at once or when their time to come back is over."""
+    def remove_rows(self, keys: Collection[str], ended_outage: bool) -> None:
+        """Remove rows, at once or, after an outage, when the grace is over."""
         known = {key for key in keys if key in self.rows}
-        if was_away and len(known) >= LAPSED_SHARE * len(self.rows):
-            self.missing |= known
+        if ended_outage and len(known) >= LAPSED_FRACTION * len(self.rows):
+            self.lapsed_keys |= known
             return
         for key in keys:
             self.rows.pop(key, None)
-            self.missing.discard(key)
+            self.lapsed_keys.discard(key)
 
-    def expire(self, now: float) -> bool:
-        """Take out what did not come back in time; return whether anything was."""
-        if not self.missing or now < self.returned_at + RETURN_GRACE_S:
+    def remove_expired(self, now: float) -> bool:
+        """Remove rows that were not rewritten within the grace; return whether any were."""
+        if not self.lapsed_keys or now < self.recovered_at + RETURN_GRACE_S:
             return False
-        for key in self.missing:
+        for key in self.lapsed_keys:
             self.rows.pop(key, None)
-        self.missing.clear()
+        self.lapsed_keys.clear()
         return True
 
 
 class FeedFollower:
-    """One task that follows one table, and tells a listener of each change."""
+    """A background loop that follows one table and passes each change to a listener."""
 
     def __init__(
         self,
@@ -124,10 +130,10 @@
         self.listener = listener
         self.gather_s = gather_s
         self.view = FeedView()
-        self.pause_s = RETRY_S[0]
-        self.paid = True
-        self.lapsed = anyio.Event()
-        self.waiting: anyio.CancelScope | None = None
+        self.pause_s = BACKOFF_S[0]
+        self.own_call = True
+        self.rows_lapsed = anyio.Event()
+        self.wait_scope: anyio.CancelScope | None = None
         self.background = Background(self.run, self.run_expiry)
 
     async def start(self, tasks: TaskGroup) -> None:
@@ -139,76 +145,79 @@
     async def run(self) -> None:
         while True:
             try:
-                changed = await self.ask()
+                changed = await self.fetch_changes()
             except PlatformError as error:
-                await self.wait_out(error)
+                await self.back_off(error)
                 continue
-            if self.pause_s > RETRY_S[0]:
+            if self.pause_s > BACKOFF_S[0]:
                 log_event("feed_regained", table=self.table, version=self.view.version)
-                self.pause_s = RETRY_S[0]
-            if self.view.missing:
-                self.lapsed.set()
+                self.pause_s = BACKOFF_S[0]
+            if self.view.lapsed_keys:
+                self.rows_lapsed.set()
             if changed:
-                self.tell()
-                # Changes come in groups. One call for each of them would be as many
-                # calls from every VM as there are changes.
-                await anyio.sleep(self.gather_s() if self.paid else 0.0)
+                self.notify_listener()
+                # Changes come in bursts. Without this pause every VM would make as
+                # many calls as there are changes.
+                await anyio.sleep(self.gather_s() if self.own_call else 0.0)
 
-    async def ask(self) -> bool:
-        """Read on once; return whether anything changed."""
+    async def fetch_changes(self) -> bool:
+        """Make one call for the next changes; return whether anything changed."""
         if self.view.version is None:
-            self.view.replace(await self.feed.snapshot(self.table), self.clock.now())
+            self.view.apply_snapshot(
+                await self.feed.snapshot(self.table), self.clock.now()
+            )
             return True
-        # After an outage the first answer has to come at once: it tells when the
-        # outage ended, and apart what was removed meanwhile from what is later.
+        # After an outage the first call must not wait for changes: its answer marks
+        # the end of the outage, and so separates rows that were removed during it from
+        # those that are removed later.
         wait_s = WAIT_S if self.view.away_since is None else 0.0
         match await self.wait_for_changes(self.view.version, wait_s):
             case Changes() as changes:
-                self.paid = not changes.shared
-                return self.view.change(changes, self.clock.now())
+                self.own_call = not changes.shared
+                return self.view.apply_changes(changes, self.clock.now())
             case HistoryLost():
                 log_event("feed_history_lost", table=self.table)
                 self.view.version = None
             case None:
                 log_event("feed_doubted", table=self.table)
-                self.view.failed(self.clock.now())
+                self.view.record_failure(self.clock.now())
         return False
 
     async def wait_for_changes(
         self, version: int, wait_s: float
     ) -> Changes | HistoryLost | None:
-        """Return what changed after a version; None if that came into doubt."""
+        """Return the changes after a version, or None if the call was cancelled."""
         with anyio.CancelScope() as scope:
-            self.waiting = scope if wait_s else None
+            self.wait_scope = scope if wait_s else None
             try:
                 return await self.feed.changes(self.table, version, wait_s)
             finally:
-                self.waiting = None
+                self.wait_scope = None
         return None
 
     def doubt(self) -> None:
-        """Reissue the call that waits for changes, after another call failed.
+        """Cancel and reissue the call that waits for changes, after another call failed.
 
-        A platform that is silent swallows both.
+        A platform that stops answering drops both.
         """
-        if self.waiting is not None:
-            self.waiting.cancel()
+        if self.wait_scope is not None:
+            self.wait_scope.cancel()
 
-    async def wait_out(self, error: PlatformError) -> None:
+    async def back_off(self, error: PlatformError) -> None:
         if self.view.away_since is None:
             log_event("feed_lost", level="WARNING", table=self.table, error=str(error))
-        self.view.failed(self.clock.now())
+        self.view.record_failure(self.clock.now())
         await anyio.sleep(random.uniform(0.5, 1.5) * self.pause_s)
-        self.pause_s = min(RETRY_S[1], self.pause_s * 2)
+        self.pause_s = min(BACKOFF_S[1], self.pause_s * 2)
 
     async def run_expiry(self) -> None:
         while True:
-            await self.lapsed.wait()
-            self.lapsed = anyio.Event()
-            while self.view.missing:
+            await self.rows_lapsed.wait()
+            self.rows_lapsed = anyio.Event()
+            while self.view.lapsed_keys:
                 await anyio.sleep(RETURN_GRACE_S / 10)
-                if self.view.expire(self.clock.now()):
-                    self.tell()
+                if self.view.remove_expired(self.clock.now()):
+                    self.notify_listener()
 
-    def tell(self) -> None:
+    def notify_listener(self) -> None:
         self.listener(self.view.rows)
--- a/src/godwitmast/platform_api/group_commit.py
+++ b/src/godwitmast/platform_api/group_commit.py
@@ -1,4 +1,4 @@
-"""Transactions that come together are written together."""
+"""Group commit: transactions that are submitted together are written in one batch."""
 
 from collections import deque
 from collections.abc import Awaitable, Callable
@@ -12,19 +12,19 @@
 from godwitmast.types import Json
 
 MAX_ENTRIES = 100
-"""Checks and writes of one transaction."""
+"""Limit of checks plus writes in one transaction."""
 
 Send = Callable[[dict[str, int], dict[str, Json]], Awaitable[TransactOutcome]]
 
 
 @dataclass
-class Waiting:
-    """A transaction, and its outcome once there is one."""
+class PendingTransaction:
+    """A submitted transaction, and its outcome once that is known."""
 
     checks: dict[str, int]
     writes: dict[str, Json]
     outcome: TransactOutcome | PlatformError | None = None
-    ended: anyio.Event = field(default_factory=anyio.Event)
+    completed: anyio.Event = field(default_factory=anyio.Event)
 
     @property
     def keys(self) -> set[str]:
@@ -34,24 +34,24 @@
     def entries(self) -> int:
         return len(self.checks) + len(self.writes)
 
-    def end(self, outcome: TransactOutcome | PlatformError) -> None:
+    def complete(self, outcome: TransactOutcome | PlatformError) -> None:
         self.outcome = outcome
-        self.ended.set()
+        self.completed.set()
 
 
 class GroupCommit:
-    """Sends one transaction at a time, made of all that wait and touch other rows.
+    """Sends one batch at a time, made of all pending transactions on distinct rows.
 
-    A conflict in one of them fails the whole; that one is told, and the rest is sent
-    again without it. An outcome that is not known is not known for each of them.
-    `gather_s` is how long the first one waits for others, but for one that follows a
-    failure: what is written again is late already.
+    A conflict in one transaction fails the batch: that one gets the conflict, and the
+    others are sent again without it. If the outcome of a batch is unknown, it is
+    unknown for each of its transactions. `gather_s` is how long the first one waits for
+    others. There is no such wait after a failure, since a retried write is already late.
     """
 
     def __init__(self, send: Send, gather_s: float = 0.0) -> None:
         self.send = send
         self.gather_s = gather_s
-        self.queue: deque[Waiting] = deque()
+        self.queue: deque[PendingTransaction] = deque()
         self.arrived = anyio.Event()
         self.sent = 0
         self.failing = False
@@ -62,20 +62,20 @@
     async def transact(
         self, checks: dict[str, int], writes: dict[str, Json]
     ) -> TransactOutcome:
-        """Write like `PlatformClient.transact`, together with others."""
-        waiting = Waiting(checks, writes)
-        self.queue.append(waiting)
+        """Write like `PlatformClient.transact`, but in a batch with other transactions."""
+        pending = PendingTransaction(checks, writes)
+        self.queue.append(pending)
         self.arrived.set()
         try:
-            await waiting.ended.wait()
+            await pending.completed.wait()
         except BaseException:
-            if waiting in self.queue:
-                self.queue.remove(waiting)
+            if pending in self.queue:
+                self.queue.remove(pending)
             raise
-        if isinstance(waiting.outcome, PlatformError):
-            raise waiting.outcome
-        assert waiting.outcome is not None, "an ended transaction has an outcome"
-        return waiting.outcome
+        if isinstance(pending.outcome, PlatformError):
+            raise pending.outcome
+        assert pending.outcome is not None, "a completed transaction has an outcome"
+        return pending.outcome
 
     async def run(self) -> None:
         while True:
@@ -86,26 +86,26 @@
             while self.queue:
                 await self.commit(self.take_batch())
 
-    def take_batch(self) -> list[Waiting]:
-        """Return the first transactions that touch no row twice."""
-        batch: list[Waiting] = []
+    def take_batch(self) -> list[PendingTransaction]:
+        """Remove and return the first pending transactions that share no row."""
+        batch: list[PendingTransaction] = []
         keys: set[str] = set()
         entries = 0
-        later: list[Waiting] = []
+        deferred: list[PendingTransaction] = []
         while self.queue:
             if batch and entries + self.queue[0].entries > MAX_ENTRIES:
                 break
-            waiting = self.queue.popleft()
-            if keys & waiting.keys:
-                later.append(waiting)
+            pending = self.queue.popleft()
+            if keys & pending.keys:
+                deferred.append(pending)
                 continue
-            batch.append(waiting)
-            keys |= waiting.keys
-            entries += waiting.entries
-        self.queue.extendleft(reversed(later))
+            batch.append(pending)
+            keys |= pending.keys
+            entries += pending.entries
+        self.queue.extendleft(reversed(deferred))
         return batch
 
-    async def commit(self, batch: list[Waiting]) -> None:
+    async def commit(self, batch: list[PendingTransaction]) -> None:
         checks = {key: v for item in batch for key, v in item.checks.items()}
         writes = {key: v for item in batch for key, v in item.writes.items()}
         self.sent += 1
@@ -114,31 +114,33 @@
         except PlatformError as error:
             self.failing = True
             for item in batch:
-                item.end(error)
+                item.complete(error)
             return
         self.failing = False
         if isinstance(outcome, Written):
             for item in batch:
-                kept = {k: v for k, v in outcome.versions.items() if k in item.keys}
-                item.end(Written(kept))
+                own_versions = {
+                    k: v for k, v in outcome.versions.items() if k in item.keys
+                }
+                item.complete(Written(own_versions))
             return
         self.split(batch, outcome)
 
-    def split(self, batch: list[Waiting], conflict: Conflict) -> None:
-        """Tell those in conflict, and put the others back in front."""
-        others = []
+    def split(self, batch: list[PendingTransaction], conflict: Conflict) -> None:
+        """End those in conflict, and put the others back at the head of the queue."""
+        unaffected = []
         for item in batch:
-            mine = {
+            own = {
                 key: version
                 for key, version in conflict.versions.items()
                 if key in item.checks and item.checks[key] != version
             }
-            if mine or len(batch) == 1:
-                item.end(Conflict(mine))
+            if own or len(batch) == 1:
+                item.complete(Conflict(own))
             else:
-                others.append(item)
-        if len(others) == len(batch):
+                unaffected.append(item)
+        if len(unaffected) == len(batch):
             for item in batch:
-                item.end(conflict)
+                item.complete(conflict)
             return
-        self.queue.extendleft(reversed(others))
+        self.queue.extendleft(reversed(unaffected))
--- a/src/godwitmast/platform_api/http.py
+++ b/src/godwitmast/platform_api/http.py
@@ -1,4 +1,4 @@
-"""HTTP calls to a platform, within a budget and with every failure named."""
+"""HTTP calls to a platform, within a rate budget and with classified failures."""
 
 import random
 import time
@@ -20,12 +20,12 @@
 
 
 class PlatformHttp:
-    """Calls that either answer or raise a PlatformError.
+    """Calls that either return an answer or raise a PlatformError.
 
-    Calls wait for this process's own budget, and fail at once while the platform was
-    found not to answer. PlatformUnavailable says that nothing took effect;
-    PlatformOutcomeUnknown says that a write may have, and its caller settles that by
-    reading again.
+    Calls wait for this process's rate budget, and fail at once while the circuit
+    breaker is open. PlatformUnavailable means that nothing took effect.
+    PlatformOutcomeUnknown means that a write may have taken effect; its caller has to
+    read again to find out.
     """
 
     def __init__(self, settings: PlatformSettings, http: httpx.AsyncClient) -> None:
@@ -42,11 +42,11 @@
         await self.http.aclose()
 
     def budget_of(self, method: str, path: str) -> Budget:
-        """Return the budget that a call is paid from."""
+        """Return the budget that a call counts against."""
         return self.reads if method == "GET" else self.writes
 
     def call_name(self, path: str) -> str:
-        """Return what a call is counted as."""
+        """Return the name under which a call is counted."""
         return path
 
     async def send(
@@ -60,39 +60,39 @@
     ) -> httpx.Response:
         """Return an answer with a status in `good`, or raise a PlatformError.
 
-        One that is `paced` by its caller is made even while others fail at once, so that
-        it finds out as soon as the platform answers again.
+        A call that is `paced` by its caller ignores the circuit breaker, so that it
+        succeeds as soon as the platform answers again.
         """
         if self.http.is_closed:
             raise PlatformUnavailable(f"{path}: closed")
-        if not paced and not self.breaker.may_try(time.monotonic()):
-            raise PlatformUnavailable(f"{path}: did not answer lately")
+        if not paced and not self.breaker.allow_call(time.monotonic()):
+            raise PlatformUnavailable(f"{path}: not sent, as recent calls failed")
         budget = self.budget_of(method, path)
         try:
             await self.wait_for_budget(budget, path, rows)
-            answer = await self.ask(method, path, **content)
-            return self.judge(path, answer, good, budget)
+            answer = await self.request(method, path, **content)
+            return self.check_status(path, answer, good, budget)
         except PlatformThrottled:
             raise
         except PlatformError:
-            self.breaker.failed(time.monotonic())
+            self.breaker.record_failure(time.monotonic())
             for listener in self.failure_listeners:
                 listener()
             raise
         finally:
-            # Also for a call that was cancelled, or that our own budget held up.
+            # Also for a call that was cancelled or that exceeded this process's budget.
             if not paced:
-                self.breaker.ended()
+                self.breaker.end_call()
 
     async def wait_for_budget(self, budget: Budget, path: str, rows: int) -> None:
-        """Wait for our own share of the platform, no longer than for an answer."""
+        """Wait for this process's rate budget, at most as long as for an answer."""
         deadline = time.monotonic() + self.timeout_s
-        while delay := budget.delay(rows, self.priority, time.monotonic()):
+        while delay := budget.take_or_delay(rows, self.priority, time.monotonic()):
             if time.monotonic() + delay > deadline:
-                raise PlatformThrottled(f"{path}: own budget")
+                raise PlatformThrottled(f"{path}: over this process's rate budget")
             await anyio.sleep(delay * random.uniform(1.0, 1.2))
 
-    async def ask(self, method: str, path: str, **content: Any) -> httpx.Response:
+    async def request(self, method: str, path: str, **content: Any) -> httpx.Response:
         self.calls.add(self.call_name(path))
         try:
             return await self.http.request(method, path, **content)
@@ -101,15 +101,15 @@
         except httpx.HTTPError as error:
             raise PlatformOutcomeUnknown(f"{path}: {error!r}") from None
 
-    def judge(
+    def check_status(
         self, path: str, answer: httpx.Response, good: tuple[int, ...], budget: Budget
     ) -> httpx.Response:
-        """Return a good answer, or raise what another one means."""
+        """Return an answer with an expected status, or raise the error for its status."""
         if answer.status_code in good:
-            self.breaker.answered()
+            self.breaker.record_success()
             return answer
         if answer.status_code == 429:
-            budget.throttled(time.monotonic())
+            budget.record_throttled(time.monotonic())
             raise PlatformThrottled(path)
         if answer.status_code == 503:
             raise PlatformUnavailable(f"{path}: 503")
--- a/src/godwitmast/platform_api/limits.py
+++ b/src/godwitmast/platform_api/limits.py
@@ -1,98 +1,103 @@
-"""What keeps one process from overrunning the platform, without I/O."""
+"""The rate budget and the circuit breaker of platform calls, without I/O.
+
+They keep one process from overloading the platform.
+"""
 
 import random
 from enum import Enum
 
 FAILURES_TO_OPEN = 5
-OPEN_S = 0.5
-OPEN_MAX_S = 4.0
+INITIAL_OPEN_S = 0.5
+MAX_OPEN_S = 4.0
 
 
 class Priority(Enum):
-    """Which calls go first when the budget is short."""
+    """The order in which calls may use a scarce budget."""
 
     CONTROL = "control"
-    """Leases, configuration, heartbeats and frozen windows: few, and each matters."""
+    """Leases, configuration, heartbeats and frozen windows: few, and each is critical."""
     BULK = "bulk"
-    """Claims and answers: as many as callers send."""
+    """Claims and answers: their number grows with the callers' requests."""
 
 
 class Budget:
-    """A token bucket of rows a second; bulk leaves a reserve to control.
+    """A token bucket of rows a second, with a reserve that only control calls may use.
 
-    Without it a burst of claims would be throttled by the platform, and the lease and
-    the heartbeat of the same process along with them.
+    Load pattern: a burst of claims exceeds the rate limit of the platform, which then
+    also throttles the lease and the heartbeat of the same process.
     """
 
     RESERVE_SHARE = 0.25
 
     def __init__(self, rows_per_s: float) -> None:
         self.rows_per_s = rows_per_s
-        self.level = rows_per_s
+        self.available_rows = rows_per_s
         self.filled_at: float | None = None
 
-    def delay(self, rows: int, priority: Priority, now: float) -> float:
-        """Take `rows` and return 0, or return how long to wait before asking again."""
+    def take_or_delay(self, rows: int, priority: Priority, now: float) -> float:
+        """Take `rows` and return 0, or take none and return the seconds until a retry."""
         if self.filled_at is not None:
-            grown = self.level + (now - self.filled_at) * self.rows_per_s
-            self.level = min(self.rows_per_s, grown)
+            refilled = self.available_rows + (now - self.filled_at) * self.rows_per_s
+            self.available_rows = min(self.rows_per_s, refilled)
         self.filled_at = now
         reserve = self.rows_per_s * self.RESERVE_SHARE
         floor = reserve if priority is Priority.BULK else 0.0
-        # More rows than the bucket holds go when it is full, and leave it in debt.
-        wanted = min(float(rows), self.rows_per_s - floor)
-        if self.level - floor >= wanted:
-            self.level -= rows
+        # A call of more rows than the bucket holds may go when the bucket is full, and
+        # leaves it overdrawn.
+        needed = min(float(rows), self.rows_per_s - floor)
+        if self.available_rows - floor >= needed:
+            self.available_rows -= rows
             return 0.0
-        return (wanted - (self.level - floor)) / self.rows_per_s
+        return (needed - (self.available_rows - floor)) / self.rows_per_s
 
-    def throttled(self, now: float) -> None:
-        """Start anew from nothing, since the platform says that it is too much."""
-        self.level = min(self.level, 0.0)
+    def record_throttled(self, now: float) -> None:
+        """Empty the bucket, since the platform reported that its limit is exceeded."""
+        self.available_rows = min(self.available_rows, 0.0)
         self.filled_at = now
 
 
 class Breaker:
-    """Stops asking a platform that does not answer, and tries it now and then.
+    """A circuit breaker: fails calls at once while the platform does not answer.
 
-    While it is away each call would otherwise wait out its whole time-out, with the
-    callers of claimed requests waiting behind it. Times are jittered and double up to
-    a few seconds, so that recovery is quick and not all at once.
+    Otherwise each call during an outage would wait for its whole time-out, and callers
+    of claimed requests would wait with it. While open, one probe call at a time is let
+    through. Intervals between probes have jitter and double up to a few seconds, so
+    that recovery is quick and processes do not return in step.
     """
 
     def __init__(
-        self, jitter: random.Random | None = None, open_max_s: float = OPEN_MAX_S
+        self, jitter: random.Random | None = None, open_max_s: float = MAX_OPEN_S
     ) -> None:
         self.jitter = jitter or random.Random()
         self.open_max_s = open_max_s
         self.failures = 0
         self.open_until = 0.0
-        self.open_s = OPEN_S
-        self.trying = False
+        self.open_s = INITIAL_OPEN_S
+        self.probing = False
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         return self.failures >= FAILURES_TO_OPEN
 
-    def may_try(self, now: float) -> bool:
-        """Return whether to ask; while open, one call at a time tries."""
-        if not self.open:
+    def allow_call(self, now: float) -> bool:
+        """Return whether a call may be made; while open, one probe at a time may."""
+        if not self.is_open:
             return True
-        if now < self.open_until or self.trying:
+        if now < self.open_until or self.probing:
             return False
-        self.trying = True
+        self.probing = True
         return True
 
-    def answered(self) -> None:
+    def record_success(self) -> None:
         self.failures = 0
-        self.open_s = OPEN_S
+        self.open_s = INITIAL_OPEN_S
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         self.failures += 1
-        if self.open:
+        if self.is_open:
             self.open_until = now + self.open_s * self.jitter.uniform(0.5, 1.0)
             self.open_s = min(self.open_max_s, self.open_s * 2)
 
-    def ended(self) -> None:
-        """Let the next call try, whatever became of this one."""
-        self.trying = False
+    def end_call(self) -> None:
+        """Record that a call has ended, whatever its outcome, so the next may probe."""
+        self.probing = False
--- a/src/godwitmast/platform_api/messages.py
+++ b/src/godwitmast/platform_api/messages.py
@@ -1,4 +1,4 @@
-"""What the platform is asked and what it answers."""
+"""Data types of platform requests and answers."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class Row(NamedTuple):
-    """A row of the table with the number of its last write."""
+    """A row of the table, with the version of its last write."""
 
     value: Json
     version: int
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """Nothing was written; `versions` holds the current versions in the way."""
+    """Nothing was written; `versions` holds the current versions that did not match."""
 
     versions: dict[str, int]
 
@@ -44,7 +44,7 @@
 
 
 class Vm(NamedTuple):
-    """A VM on the platform's lagging list."""
+    """A VM on the platform's list, which is updated with a delay."""
 
     node: str
     zone: str
--- a/src/godwitmast/platform_api/port.py
+++ b/src/godwitmast/platform_api/port.py
@@ -1,4 +1,4 @@
-"""What the product asks of whatever platform it runs on."""
+"""The interfaces that a platform has to provide."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 
 class Table(Protocol):
-    """A table with transactions, and objects beside it; calls raise PlatformError."""
+    """A table with transactions, and an object store; calls raise PlatformError."""
 
     async def read(self, keys: list[str]) -> dict[str, Row]: ...
 
@@ -25,17 +25,17 @@
 
 
 class UsageIntake(Protocol):
-    """Where a frozen window's figures are reported; the same report may come twice."""
+    """Receives the figures of frozen windows; the same report may be sent twice."""
 
     async def report_usage(self, report: Json) -> None: ...
 
 
 class Reporting(Table, UsageIntake, Protocol):
-    """What the usage duty needs."""
+    """The interfaces that the usage duty needs."""
 
 
 class FeedRow(NamedTuple):
-    """A row of somebody else's table, as its bytes; None if it was removed."""
+    """A row of an external table as raw bytes; None if it was removed."""
 
     key: str
     content: bytes | None
@@ -53,7 +53,7 @@
 class Changes:
     """The rows that changed up to `version`, in order; there may be none.
 
-    `shared` says that they came without a call of this process's own.
+    `shared` says that they were received without a call by this process.
     """
 
     rows: Sequence[FeedRow] = field(default_factory=tuple)
@@ -63,11 +63,11 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryLost:
-    """The changes since the version that was asked for are no longer told."""
+    """The changes since the requested version are no longer available."""
 
 
 class Feed(Protocol):
-    """A table that tells its changes; calls raise PlatformError."""
+    """A table with a change feed; calls raise PlatformError."""
 
     async def snapshot(self, table: str) -> Snapshot: ...
 
--- a/src/godwitmast/platform_api/runner.py
+++ b/src/godwitmast/platform_api/runner.py
@@ -1,4 +1,4 @@
-"""Takes the steps of a protocol over HTTP."""
+"""The runner that executes the steps of a protocol on a platform."""
 
 from typing import TypeVar
 
@@ -34,16 +34,16 @@
 
 
 async def take_step(platform: Table, step: Step) -> Result:
-    """Take one step; what went wrong is a value, not an exception."""
+    """Execute one step; an error is returned as a Failure, not raised."""
     try:
-        return await ask(platform, step)
+        return await execute_step(platform, step)
     except PlatformUnavailable:
         return Failure.NOT_DONE
     except PlatformError:
         return Failure.UNKNOWN
 
 
-async def ask(platform: Table, step: Step) -> Result:
+async def execute_step(platform: Table, step: Step) -> Result:
     match step:
         case Read():
             return Rows(await platform.read(step.keys))
--- a/src/godwitmast/platform_api/steps.py
+++ b/src/godwitmast/platform_api/steps.py
@@ -1,7 +1,7 @@
 """Protocols over the platform as generators of steps, without I/O.
 
-A protocol yields one step at a time and is sent its result, so it reads straight
-down, and a test can lose, delay or fail any step, or stop the protocol there.
+A protocol yields one step at a time and is sent its result. Its code reads
+sequentially, and a test can lose, delay or fail any step, or stop the protocol at it.
 """
 
 from collections.abc import Generator
@@ -16,24 +16,24 @@
 
 
 class Failure(Enum):
-    """A step without an answer."""
+    """The result of a step that got no answer."""
 
     NOT_DONE = "not_done"
     """Nothing took effect."""
     UNKNOWN = "unknown"
-    """A write may have taken effect, or may yet; reading again settles it."""
+    """A write may have taken effect, or may still; only reading again can tell."""
 
 
 @dataclass(frozen=True, slots=True)
 class Read:
-    """Read rows as of one moment."""
+    """Read rows in one consistent read."""
 
     keys: list[str]
 
 
 @dataclass(frozen=True, slots=True)
 class Scan:
-    """Read every row whose key starts with `prefix` and is past `after`."""
+    """Read every row whose key starts with `prefix` and sorts after `after`."""
 
     prefix: str
     after: str = ""
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Transact:
-    """Write all or nothing, if each row of `checks` has that version (0: no row)."""
+    """Write all or nothing, if each row of `checks` has its version (0: no such row)."""
 
     checks: dict[str, int]
     writes: dict[str, Json]
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PutObject:
-    """Write an object; names hold a digest or an id, so a repeat does no harm."""
+    """Write an object; its name holds a digest or an id, so the write is idempotent."""
 
     name: str
     content: bytes
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ObjectPut:
-    """The object is there."""
+    """The object is stored."""
 
 
 Step = Read | Scan | Transact | GetObject | PutObject
--- a/src/godwitmast/platform_api/time_agreement.py
+++ b/src/godwitmast/platform_api/time_agreement.py
@@ -1,11 +1,12 @@
-"""One time of day for all VMs, though single clocks jump, without I/O.
+"""A common time of day for all VMs, whose own clocks may jump, without I/O.
 
-A VM's time of day may jump by minutes and back. Whoever reports usage by such a clock
-freezes windows that have not been yet, and finds later that theirs are taken; a VM that
-counts by it puts its requests into windows that nobody reports. The platform's store
-answers with a clock of its own that never jumps, but that counts from an unknown
-moment. The first VM writes down by how much the two differ, once and for all; every VM
-adds that to the store's clock, and its own only carries it from answer to answer.
+A VM's time of day may jump by minutes and back. A VM that reports usage by such a clock
+freezes windows that lie in the future, and later finds the true ones already frozen. A
+VM that counts by it assigns its requests to windows that are never reported. The
+platform's store sends its own clock with each answer; that clock never jumps, but
+counts from an unknown origin. The first VM stores the difference between the two clocks
+once; every VM adds it to the store's clock, and uses its own monotonic clock only to
+extrapolate between answers.
 """
 
 from godwitmast.clock import Clock
@@ -13,43 +14,44 @@
 from godwitmast.platform_api.steps import Read, Rows, Steps, Transact
 
 CLOCK_KEY = "clock"
-"""The row with the difference, which never changes."""
+"""The row with the difference, which is written once."""
 
 
 class AgreedClock:
-    """A `Clock` whose time of day is the agreed one as soon as there is one."""
+    """A `Clock` whose time of day is the common one, once that is known."""
 
     def __init__(self, own: Clock) -> None:
-        self.own = own
+        self.local = own
         self.difference_s: float | None = None
         self.store_s = 0.0
         self.heard_at: float | None = None
 
     def heard(self, store_s: float) -> None:
-        """Take the store's clock from an answer that has just come.
+        """Update the store's clock from an answer that has just arrived.
 
-        Answers overtake each other; the latest clock is the best one.
+        Answers may arrive out of order, so an older time is ignored.
         """
         if self.heard_at is None or store_s >= self.store_now():
-            self.store_s, self.heard_at = store_s, self.own.now()
+            self.store_s, self.heard_at = store_s, self.local.now()
 
     def store_now(self) -> float:
-        """Return the store's clock as far as is known now."""
-        assert self.heard_at is not None, "the store has answered"
-        return self.store_s + self.own.now() - self.heard_at
+        """Return the present time by the store's clock, extrapolated from its last answer."""
+        assert self.heard_at is not None, (
+            "the store's clock is unknown before its first answer"
+        )
+        return self.store_s + self.local.now() - self.heard_at
 
     def now(self) -> float:
-        return self.own.now()
+        return self.local.now()
 
     def wall(self) -> float:
         if self.difference_s is None or self.heard_at is None:
-            return self.own.wall()
+            return self.local.wall()
         return self.store_now() + self.difference_s
 
 
 def agree_on_time(clock: AgreedClock) -> Steps[bool]:
-    """Take the difference that was written down, or write it down; return whether
-    there is one now."""
+    """Read the stored clock difference, or store it; return whether it is known now."""
     found = yield Read([CLOCK_KEY])
     if not isinstance(found, Rows) or clock.heard_at is None:
         return False
@@ -57,7 +59,7 @@
     if row is not None:
         clock.difference_s = row["difference_s"]
         return True
-    difference_s = clock.own.wall() - clock.store_now()
+    difference_s = clock.local.wall() - clock.store_now()
     result = yield Transact({CLOCK_KEY: 0}, {CLOCK_KEY: {"difference_s": difference_s}})
     match result:
         case Written():
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -18,8 +18,8 @@
 def view() -> FeedView:
     """A view of two servers, which was away from the store from 10 s on."""
     view = FeedView()
-    view.replace(Snapshot(rows("a", "b"), 7), 0.0)
-    view.failed(10.0)
+    view.apply_snapshot(Snapshot(rows("a", "b"), 7), 0.0)
+    view.record_failure(10.0)
     return view
 
 
@@ -31,11 +31,11 @@
     Its first answer says that both are gone. One writes its row again a second later,
     the other does not: only that one goes, two seconds after the return.
     """
-    view.change(Changes([FeedRow("a", None), FeedRow("b", None)], 9), 15.0)
+    view.apply_changes(Changes([FeedRow("a", None), FeedRow("b", None)], 9), 15.0)
     assert view.rows.keys() == {"a", "b"}
-    view.change(Changes(rows("a"), 10), 16.0)
-    assert not view.expire(15.0 + RETURN_GRACE_S - 0.1)
-    assert view.expire(15.0 + RETURN_GRACE_S)
+    view.apply_changes(Changes(rows("a"), 10), 16.0)
+    assert not view.remove_expired(15.0 + RETURN_GRACE_S - 0.1)
+    assert view.remove_expired(15.0 + RETURN_GRACE_S)
     assert view.rows.keys() == {"a"}
 
 
@@ -45,32 +45,32 @@
     Its removal comes in a later answer than the first one. Were it held as well, its
     requests would go on past the time that a leaving server waits for.
     """
-    view.change(Changes([], 8), 15.0)
-    view.change(Changes([FeedRow("b", None)], 9), 15.1)
+    view.apply_changes(Changes([], 8), 15.0)
+    view.apply_changes(Changes([FeedRow("b", None)], 9), 15.1)
     assert view.rows.keys() == {"a"}
 
 
 def test_row_missing_from_the_snapshot_after_an_outage_stays_for_the_grace(
     view: FeedView,
 ) -> None:
-    view.replace(Snapshot(rows("a"), 30), 15.0)
+    view.apply_snapshot(Snapshot(rows("a"), 30), 15.0)
     assert view.rows.keys() == {"a", "b"}
-    assert view.expire(17.0)
+    assert view.remove_expired(17.0)
     assert view.rows.keys() == {"a"}
 
 
 def test_without_an_outage_a_row_goes_at_once() -> None:
     view = FeedView()
-    view.replace(Snapshot(rows("a", "b"), 7), 0.0)
-    view.replace(Snapshot(rows("b"), 8), 1.0)
+    view.apply_snapshot(Snapshot(rows("a", "b"), 7), 0.0)
+    view.apply_snapshot(Snapshot(rows("b"), 8), 1.0)
     assert view.rows.keys() == {"b"}
-    view.change(Changes([FeedRow("b", None)], 9), 2.0)
+    view.apply_changes(Changes([FeedRow("b", None)], 9), 2.0)
     assert not view.rows
 
 
 def test_row_that_came_only_with_the_return_can_go(view: FeedView) -> None:
-    view.change(Changes([FeedRow("c", None)], 9), 15.0)
-    assert not view.missing
+    view.apply_changes(Changes([FeedRow("c", None)], 9), 15.0)
+    assert not view.lapsed_keys
 
 
 def test_one_server_of_many_that_left_while_this_process_was_turned_away_goes_at_once() -> (
@@ -83,23 +83,23 @@
     after it had left.
     """
     view = FeedView()
-    view.replace(Snapshot(rows(*"abcdef"), 7), 0.0)
-    view.failed(10.0)
-    view.change(Changes([FeedRow("c", None)], 9), 15.0)
+    view.apply_snapshot(Snapshot(rows(*"abcdef"), 7), 0.0)
+    view.record_failure(10.0)
+    view.apply_changes(Changes([FeedRow("c", None)], 9), 15.0)
     assert view.rows.keys() == set("abdef")
-    view.failed(20.0)
-    view.replace(Snapshot(rows(*"abde"), 12), 25.0)
+    view.record_failure(20.0)
+    view.apply_snapshot(Snapshot(rows(*"abde"), 12), 25.0)
     assert view.rows.keys() == set("abde")
 
 
 def test_rows_that_lapsed_together_stay_for_the_grace() -> None:
     view = FeedView()
-    view.replace(Snapshot(rows(*"abcdef"), 7), 0.0)
-    view.failed(10.0)
-    view.replace(Snapshot(rows(*"ab"), 12), 15.0)
+    view.apply_snapshot(Snapshot(rows(*"abcdef"), 7), 0.0)
+    view.record_failure(10.0)
+    view.apply_snapshot(Snapshot(rows(*"ab"), 12), 15.0)
     assert view.rows.keys() == set("abcdef")
-    view.change(Changes(rows("c"), 13), 15.5)
-    assert view.expire(17.0)
+    view.apply_changes(Changes(rows("c"), 13), 15.5)
+    assert view.remove_expired(17.0)
     assert view.rows.keys() == set("abc")
 
 
--- a/tests/test_platform_client.py
+++ b/tests/test_platform_client.py
@@ -22,19 +22,19 @@
 def test_bulk_leaves_a_reserve_to_control() -> None:
     budget = Budget(20.0)
     taken = 0
-    while not budget.delay(1, Priority.BULK, 100.0):
+    while not budget.take_or_delay(1, Priority.BULK, 100.0):
         taken += 1
     assert taken == 15
-    assert budget.delay(1, Priority.BULK, 100.0) > 0
-    assert budget.delay(3, Priority.CONTROL, 100.0) == 0
-    assert budget.delay(1, Priority.BULK, 101.0) == 0
+    assert budget.take_or_delay(1, Priority.BULK, 100.0) > 0
+    assert budget.take_or_delay(3, Priority.CONTROL, 100.0) == 0
+    assert budget.take_or_delay(1, Priority.BULK, 101.0) == 0
 
 
 def test_rate_holds_over_time() -> None:
     budget = Budget(10.0)
     now, taken = 0.0, 0
     while now < 60.0:
-        delay = budget.delay(1, Priority.CONTROL, now)
+        delay = budget.take_or_delay(1, Priority.CONTROL, now)
         taken += not delay
         now += max(delay, 0.001)
     assert taken <= 10 + 10 * 60 + 1
@@ -43,19 +43,19 @@
 def test_breaker_lets_one_call_try_while_open() -> None:
     breaker = Breaker(random.Random(1))
     for _ in range(FAILURES_TO_OPEN):
-        assert breaker.may_try(0.0)
-        breaker.failed(0.0)
-    assert not breaker.may_try(0.1)
-    assert breaker.may_try(1.0)
-    assert not breaker.may_try(1.0)
-    breaker.failed(1.0)
-    breaker.ended()
-    assert not breaker.may_try(1.2)
-    assert breaker.may_try(6.0)
-    breaker.answered()
-    breaker.ended()
-    assert breaker.may_try(6.0)
-    assert breaker.may_try(6.0)
+        assert breaker.allow_call(0.0)
+        breaker.record_failure(0.0)
+    assert not breaker.allow_call(0.1)
+    assert breaker.allow_call(1.0)
+    assert not breaker.allow_call(1.0)
+    breaker.record_failure(1.0)
+    breaker.end_call()
+    assert not breaker.allow_call(1.2)
+    assert breaker.allow_call(6.0)
+    breaker.record_success()
+    breaker.end_call()
+    assert breaker.allow_call(6.0)
+    assert breaker.allow_call(6.0)
 
 
 async def test_platform_that_is_away_is_not_asked_by_every_call() -> None:
@@ -70,7 +70,7 @@
             assert sum(platform.requests.values()) <= FAILURES_TO_OPEN + 1
             platform.faults.outage = False
             with anyio.fail_after(5):
-                while client.breaker.open:
+                while client.breaker.is_open:
                     try:
                         await client.read(["a"])
                     except PlatformUnavailable:
