--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that more than one slice's tests share."""
+"""Fixtures that several test modules share."""
 
 from collections.abc import AsyncIterator, Iterator
 from pathlib import Path
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def anyio_backend() -> str:
-    """Hypercorn and websockets run on asyncio, so the tests do too."""
+    """Run tests on asyncio, as Hypercorn and websockets do."""
     return "asyncio"
 
 
@@ -26,13 +26,13 @@
 
 @pytest.fixture
 def system() -> DevSystem:
-    """A system that is not started; a test enters `running(system)`."""
+    """Return a system that is not started; tests use `async with running(system)`."""
     return DevSystem()
 
 
 @pytest.fixture
 def processes(tmp_path: Path) -> Iterator[Processes]:
-    """Real processes, which are ended after the test."""
+    """Yield a spawner of real processes, which are killed after the test."""
     started = Processes(tmp_path)
     yield started
     started.close()
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A platform in memory whose steps can be lost, delayed or answered late."""
+"""An in-memory platform on which each step can be lost, delayed or left unanswered."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -24,19 +24,19 @@
 
 
 class Fate(Enum):
-    """What becomes of one step."""
+    """The fault, if any, that a test injects into one step."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
     LOST = "lost"
     ANSWER_LOST = "answer_lost"
     DELAYED = "delayed"
-    """No answer comes, and a write arrives at some later moment."""
+    """There is no answer, and a write takes effect at some later moment."""
 
 
 @dataclass
 class FakePlatform:
-    """Table and objects; `late` holds the writes that are still on their way."""
+    """Table and objects; `late` holds the writes that are still in flight."""
 
     table: Table = field(default_factory=Table)
     objects: dict[str, bytes] = field(default_factory=dict)
@@ -45,7 +45,7 @@
     steps: int = 0
 
     def take(self, step: Step, fate: Fate = Fate.ANSWERED) -> Result:
-        """Return what the process that took this step comes to know."""
+        """Execute a step, and return the result that its process sees."""
         self.steps += 1
         if self.away or fate is Fate.REFUSED:
             return Failure.NOT_DONE
@@ -58,7 +58,7 @@
         return Failure.UNKNOWN if fate is Fate.ANSWER_LOST else result
 
     def arrive(self, index: int) -> None:
-        """Let a delayed write take effect now."""
+        """Apply a delayed write now."""
         self.apply(self.late.pop(index % len(self.late)))
 
     def apply(self, step: Step) -> Result:
@@ -89,7 +89,7 @@
 
 @dataclass
 class FakeGuard:
-    """A lease that is held, or not, as the test says."""
+    """A lease guard whose fence the test sets; None if the lease is not held."""
 
     version: int
     fence: int | None = 1
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,4 +1,4 @@
-"""One entry VM on a stand-in of the users' platform, with three backend servers."""
+"""One entry VM on a stand-in of the users' platform, with its backend servers."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -20,7 +20,7 @@
 
 
 def settings_of(store_port: int, **bounds: Any) -> dict[str, Any]:
-    """Return a settings file's content, as the platform writes it."""
+    """Return the content of a settings file in the platform's format."""
     store = f"127.0.0.1:{store_port}"
     return {
         "node": "front-1",
@@ -61,7 +61,7 @@
 
 
 def config_of(version: int, **more: Any) -> dict[str, Any]:
-    """Return a configuration, as the operator writes it."""
+    """Return a configuration in the operators' format."""
     return {
         "version": version,
         "routes": [
@@ -108,7 +108,7 @@
 
 @dataclass
 class Fleet:
-    """The store, two engines, a plain service, and a node."""
+    """The store, two engines, two replicas of a plain service, and a node."""
 
     bounds: dict[str, Any] = field(default_factory=dict)
     configured: bool = True
@@ -167,6 +167,6 @@
         )
 
     async def configure(self, version: int, **more: Any) -> None:
-        """Write a configuration, and wait until it is in force."""
+        """Store a configuration, and wait until it is in force on the node."""
         self.store.put_config(config_of(version, **more))
         await self.until(lambda: self.node.config_version() == version)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,4 +1,4 @@
-"""Tests that are red for a fault which is known: run, printed, and passed over."""
+"""A pytest plugin for tests that fail for a known fault: run, listed, not counted."""
 
 from pathlib import Path
 from typing import NamedTuple
@@ -6,7 +6,7 @@
 import pytest
 
 FILE = Path(__file__).parents[1] / "KNOWN-RED.txt"
-MOST = 4
+MAX_ENTRIES = 4
 SEPARATOR = " | "
 
 
@@ -19,18 +19,18 @@
 
 
 def read_known_red(path: Path = FILE) -> list[KnownRed]:
-    """Return the lines of the file; a line of another shape is an error."""
+    """Return the entries of the file; a malformed line is an error."""
     if not path.exists():
         return []
     lines = [line for line in path.read_text().splitlines() if line.strip()]
-    assert len(lines) <= MOST, f"{path.name} has over {MOST} lines"
+    assert len(lines) <= MAX_ENTRIES, f"{path.name} has over {MAX_ENTRIES} lines"
     return [KnownRed(*line.split(SEPARATOR)) for line in lines]
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Expect the tests of the file to fail, and only those.
+    """Mark the tests in the file, and only those, as expected to fail.
 
-    Strictly: one that passes again turns CI red until its line is taken out.
+    The mark is strict: a listed test that passes fails CI until its line is removed.
     """
     known = {red.test: red for red in read_known_red()}
     for item in items:
--- a/tests/models.py
+++ b/tests/models.py
@@ -1,4 +1,4 @@
-"""Runs a protocol's model under hypothesis, and says how much it explored."""
+"""Helpers that run a protocol's model under hypothesis and count its steps."""
 
 from collections import Counter
 from typing import Any
@@ -9,17 +9,17 @@
 from godwitmast.platform_api.steps import Steps, Transact
 
 EXPLORED: Counter[str] = Counter()
-"""Steps taken by each model; a model counts its own."""
+"""Steps taken by each model, which increments its own count."""
 
 BROKEN_EXAMPLES = 6000
-"""How far the search for a broken protocol's fault goes; it ends at the first find.
-Hypothesis draws on the constants of the modules that a process has loaded, so the same
-seed finds the fault sooner or later in another process; 400 and 600 examples missed
-one now and then."""
+"""Maximum number of examples in the search for the fault of a broken protocol; the search
+ends at the first failure. Hypothesis draws values from constants of all loaded modules,
+so the same seed needs a different number of examples in another process. With 400 and
+600 examples the fault was sometimes missed."""
 
 
 def without_compare(steps: Steps[Any]) -> Steps[Any]:
-    """Return the protocol with each compare-and-set made a plain write."""
+    """Return the protocol with each compare-and-set replaced by a plain write."""
     result: Any = None
     try:
         while True:
@@ -34,7 +34,7 @@
 def explore(
     model: type[RuleBasedStateMachine], examples: int = 150, steps: int = 60
 ) -> None:
-    """Run `model` with fixed seeds, and print the number of steps that it took."""
+    """Run `model` with a fixed seed, and print the number of steps that it took."""
     run_state_machine_as_test(
         model,
         settings=settings(
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Real processes for tests: started, paused, killed, and always ended."""
+"""Real processes for tests, which can pause and kill them; cleanup kills the rest."""
 
 import json
 import os
@@ -22,19 +22,19 @@
 
 @dataclass
 class Process:
-    """A running program with its log."""
+    """A running program and its log file."""
 
     popen: subprocess.Popen[bytes]
     log: Path
 
     @property
     def url(self) -> str:
-        """Return the address that the program says it listens on."""
+        """Wait for the address that the program logs, and return it."""
         return self.urls(1)[0]
 
     @property
     def known_url(self) -> str | None:
-        """Return the address if the program listens by now; this does not wait."""
+        """Return the address if the program is listening already; do not wait."""
         found = LISTENING.findall(self.log.read_text())
         return found[0] if found else None
 
@@ -47,7 +47,7 @@
                 return found
             assert self.popen.poll() is None, self.log.read_text()
             time.sleep(0.02)
-        raise AssertionError(f"never listened: {self.log.read_text()}")
+        raise AssertionError(f"not listening in time: {self.log.read_text()}")
 
     def pause(self) -> None:
         self.popen.send_signal(signal.SIGSTOP)
@@ -60,7 +60,7 @@
         self.popen.wait()
 
     def terminate(self) -> int:
-        """Ask the program to stop, and return its exit code."""
+        """Send SIGTERM, and return the exit code."""
         self.popen.terminate()
         return self.popen.wait(60)
 
@@ -79,7 +79,7 @@
         return self.spawn_plain(name, module, *args, "--settings", str(path))
 
     def spawn_platform(self, document: Mapping[str, Any]) -> Process:
-        """Start the product's own platform with a first configuration."""
+        """Start the stand-in platform with a first configuration."""
         first = self.folder / "config.json"
         first.write_text(json.dumps(document))
         return self.spawn(
@@ -110,7 +110,7 @@
 
 
 def free_port() -> int:
-    """Return a port that the system says is free."""
+    """Return a port that is free at the moment."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return int(probe.getsockname()[1])
--- a/tests/running.py
+++ b/tests/running.py
@@ -1,4 +1,4 @@
-"""Runs something with `start` and `close` around a test's body."""
+"""A context manager that starts and closes a daemon around a test's body."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -13,7 +13,7 @@
 
 @asynccontextmanager
 async def running(daemon: T) -> AsyncIterator[T]:
-    """Start `daemon`, and close it after the body, whatever the body did."""
+    """Start `daemon`, and close it after the body, also if the body raises."""
     async with anyio.create_task_group() as tasks:
         await daemon.start(tasks)
         try:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration document: its checks, and changes to a large one."""
+"""The configuration document: validation, patches, and application of changes."""
 
 import pytest
 from hypothesis import given, settings
--- a/tests/test_config_model.py
+++ b/tests/test_config_model.py
@@ -1,4 +1,4 @@
-"""Patches and their spread while messages are lost and processes restart."""
+"""A model of patches and their propagation under lost messages and restarts."""
 
 from dataclasses import dataclass, field
 from itertools import count
@@ -27,7 +27,7 @@
 
 @dataclass
 class Running:
-    """A protocol that is under way, and the step that it waits for."""
+    """A protocol in progress, and the step whose result it waits for."""
 
     steps: Any
     step: Step | None = None
@@ -45,7 +45,7 @@
 
 @dataclass
 class Operator:
-    """Looks at a number, then sends a patch against it."""
+    """An operator who reads a version and submits a patch against it."""
 
     state: ConfigState = field(default_factory=ConfigState)
     patch: Patch | None = None
--- a/tests/test_coordination_processes.py
+++ b/tests/test_coordination_processes.py
@@ -1,4 +1,4 @@
-"""Coordination among real processes that are paused, killed and cut off."""
+"""Coordination among real processes that are paused, killed or lose the platform."""
 
 import json
 import time
@@ -88,7 +88,7 @@
 
 
 async def ask(http: httpx.AsyncClient, entry: Process) -> int:
-    """Make one call, and return the tokens that its caller got."""
+    """Make one call, and return the number of tokens in its answer."""
     url = f"{entry.url}/v1/chat/completions"
     answer = await http.post(url, headers=BEARER, json=BODY)
     assert answer.status_code == 200, answer.text
@@ -112,11 +112,11 @@
 async def test_paused_holder_of_the_usage_lease_wakes_up_deposed(
     system_of_processes: System, http: httpx.AsyncClient
 ) -> None:
-    """The reporter is stopped for longer than its lease, and another takes over.
+    """The reporter is paused for longer than its lease, and another takes over.
 
-    When it runs on, it must not report: both would believe that they are in charge.
-    Every report that the intake got after the first of the new holder is the new
-    holder's, and each window has one set of figures.
+    After it resumes it must not report, although it may still believe that it holds the
+    lease. Every report after the new holder's first is the new holder's, and each
+    window has one set of figures.
     """
     system = system_of_processes
     controls = {name: system.control(name) for name in ("c-1", "c-2")}
@@ -151,10 +151,10 @@
 async def test_usage_is_whole_after_ten_windows_without_the_table(
     system_of_processes: System, http: httpx.AsyncClient
 ) -> None:
-    """Ten windows pass while the table is away, and some of its answers are lost.
+    """The table is unreachable for ten windows, and some of its answers are lost.
 
-    Callers are served all the while. Afterwards each window is reported with one set
-    of figures, and once the entry has stopped cleanly they add up to exactly what
+    Callers are served throughout. Afterwards each window is reported with one set of
+    figures, and after a clean stop of the entry the figures add up to exactly what
     callers received.
     """
     system = system_of_processes
@@ -183,9 +183,9 @@
 async def test_killed_entry_loses_no_more_than_one_flush(
     system_of_processes: System, http: httpx.AsyncClient
 ) -> None:
-    """An entry VM dies at once; what it had not written is lost, and no more.
+    """An entry process is killed; only usage that it had not written is lost.
 
-    Its row goes silent, the reporter seals it, and the rest of its usage is billed.
+    Its row is no longer updated, the reporter seals it, and the usage in it is billed.
     """
     system = system_of_processes
     system.control("c-1")
@@ -211,11 +211,11 @@
 async def test_charge_runs_at_most_once_though_entries_are_killed(
     system_of_processes: System, http: httpx.AsyncClient
 ) -> None:
-    """Callers charge through three entries, and two of these die on the way.
+    """Callers send charges through three entries, two of which are killed meanwhile.
 
-    Each caller sends its charge again, with its key, to the next entry until it hears
-    an answer or that the outcome is unknown. The service's own record has each key at
-    most once, and one that was answered exactly once.
+    Each caller retries its charge, with its idempotency key, at the next entry until it
+    gets an answer or an unknown outcome. The service's own records hold each key at most
+    once, and each answered one exactly once.
     """
     system = system_of_processes
     entries = [system.entry(f"e-{n}") for n in range(3)]
@@ -267,9 +267,9 @@
 async def test_two_operators_race_two_hundred_patches(
     system_of_processes: System, http: httpx.AsyncClient
 ) -> None:
-    """Each patch is accepted against the version that it names, or told of a conflict.
+    """Each patch is accepted against the version that it names, or gets a conflict.
 
-    One in twenty of the platform's answers is lost on the way.
+    One in twenty of the platform's answers is lost.
     """
     system = system_of_processes
     await system.fault(http, lose_answers_share=0.05)
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""What the documents name is there."""
+"""Tests and files that the documentation refers to exist."""
 
 import re
 from pathlib import Path
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -1,4 +1,4 @@
-"""What a follower of a table takes for gone, and when."""
+"""When a follower of a table removes rows, with and without an outage."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 from godwitmast.platform_api.port import Changes, FeedRow, Snapshot
 
 IN_FORCE_S = 12.0
-"""How long a change of the configuration may take to be in force everywhere."""
+"""Limit for a configuration change to be in force everywhere."""
 
 
 def rows(*keys: str) -> list[FeedRow]:
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def view() -> FeedView:
-    """A view of two servers, which was away from the store from 10 s on."""
+    """Return a view of two servers that has not reached the store since 10 s."""
     view = FeedView()
     view.apply_snapshot(Snapshot(rows("a", "b"), 7), 0.0)
     view.record_failure(10.0)
@@ -26,10 +26,10 @@
 def test_rows_that_expired_during_an_outage_stay_until_they_are_written_again(
     view: FeedView,
 ) -> None:
-    """The store is away for longer than a server's row lasts.
+    """The store is unreachable for longer than the lifetime of a server's row.
 
-    Its first answer says that both are gone. One writes its row again a second later,
-    the other does not: only that one goes, two seconds after the return.
+    Its first answer says that both servers are gone. One rewrites its row a second
+    later; only the other is removed, two seconds after the recovery.
     """
     view.apply_changes(Changes([FeedRow("a", None), FeedRow("b", None)], 9), 15.0)
     assert view.rows.keys() == {"a", "b"}
@@ -40,10 +40,10 @@
 
 
 def test_row_removed_after_the_return_goes_at_once(view: FeedView) -> None:
-    """A server leaves without a word just after the store is back.
+    """A server leaves without notice just after the store recovers.
 
-    Its removal comes in a later answer than the first one. Were it held as well, its
-    requests would go on past the time that a leaving server waits for.
+    Its removal arrives in a later answer than the first. If the row were kept, requests
+    would reach the server for longer than a leaving server waits.
     """
     view.apply_changes(Changes([], 8), 15.0)
     view.apply_changes(Changes([FeedRow("b", None)], 9), 15.1)
@@ -59,7 +59,7 @@
     assert view.rows.keys() == {"a"}
 
 
-def test_without_an_outage_a_row_goes_at_once() -> None:
+def test_row_removed_without_an_outage_is_not_kept() -> None:
     view = FeedView()
     view.apply_snapshot(Snapshot(rows("a", "b"), 7), 0.0)
     view.apply_snapshot(Snapshot(rows("b"), 8), 1.0)
@@ -68,7 +68,7 @@
     assert not view.rows
 
 
-def test_row_that_came_only_with_the_return_can_go(view: FeedView) -> None:
+def test_removal_of_an_unknown_row_after_an_outage_is_ignored(view: FeedView) -> None:
     view.apply_changes(Changes([FeedRow("c", None)], 9), 15.0)
     assert not view.lapsed_keys
 
@@ -76,11 +76,11 @@
 def test_one_server_of_many_that_left_while_this_process_was_turned_away_goes_at_once() -> (
     None
 ):
-    """The store turns this process away for some seconds and serves the others.
+    """The store refuses this process for some seconds, while it serves the others.
 
-    Meanwhile one server of six leaves without a word. Its row was held for two seconds
-    after the return, as after an outage of the store, and requests went to it long
-    after it had left.
+    Meanwhile one server of six leaves without notice. If its row were kept for two
+    seconds after the recovery, as after an outage of the store, requests would go to
+    the server long after it had left.
     """
     view = FeedView()
     view.apply_snapshot(Snapshot(rows(*"abcdef"), 7), 0.0)
@@ -103,10 +103,10 @@
     assert view.rows.keys() == set("abc")
 
 
-def test_call_that_the_store_swallowed_is_given_up_before_a_change_is_overdue() -> None:
-    """The store is silent for some seconds, and never answers a call from before that.
+def test_unanswered_call_times_out_before_a_change_is_overdue() -> None:
+    """The store hangs for some seconds, and never answers a call from before that.
 
-    Its connection stays alive, so only the call's own time-out tells. Configurations of
-    the next half minute were not in force on one VM.
+    The connection stays open, so only the call's own time-out detects it. With a longer
+    one, configurations of the next half minute would not be in force on one VM.
     """
     assert WAIT_S + FOLLOW_MARGIN_S <= IN_FORCE_S
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""What a VM of the users' platform loads, as it pays for memory by the process."""
+"""Modules that a VM of the users' platform loads, since each process costs memory."""
 
 import os
 import re
@@ -29,7 +29,7 @@
     print(done.code, len(loaded), "pydantic" in loaded, "typer" in loaded)
 """
 
-MOST_MODULES = 640
+MAX_MODULES = 640
 
 
 def missing_on_vms() -> list[str]:
@@ -50,10 +50,10 @@
 def test_vm_starts_with_the_pinned_libraries_and_loads_no_more_than_it_uses(
     tmp_path: Path,
 ) -> None:
-    """Hundreds of VMs at 50 MB each did not fit; a third of that was never used.
+    """Hundreds of VMs at 50 MB each do not fit into memory; a third of it was unused.
 
-    Command lines and checks of configurations were loaded, and, by libraries that look
-    whether others are there, whatever else the machine had.
+    Unused modules get loaded for command lines and configuration checks, and by
+    libraries that import others if these happen to be installed.
     """
     path = tmp_path / "settings.toml"
     path.write_text(toml_of(settings_of(9)))
@@ -66,7 +66,7 @@
     assert done.stdout, done.stderr
     code, modules, has_pydantic, has_typer = done.stdout.split()[-4:]
     assert (code, has_pydantic, has_typer) == ("0", "False", "False")
-    assert int(modules) <= MOST_MODULES
+    assert int(modules) <= MAX_MODULES
 
 
 def toml_of(tables: dict) -> str:  # type: ignore[type-arg]
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of red tests: it hides nothing but what it names."""
+"""The list of known failing tests excuses only the tests that it names."""
 
 import pytest
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,15 +1,15 @@
-"""Logs that are bounded and hold nobody up."""
+"""Rate limit and non-blocking writes of the log."""
 
 import os
 
 from godwitmast.logs import LineSink
 
 
-def test_reader_that_stands_still_costs_lines_and_not_time() -> None:
-    """Nobody reads the pipe that the log goes to, and it is full.
+def test_stalled_reader_drops_lines_and_does_not_block() -> None:
+    """The log goes to a pipe that is full because its reader has stalled.
 
-    A write that waited would stop every stream of the process. The lines are dropped,
-    and the first one after the reader is back says how many were.
+    A blocking write would stop every stream of the process. Lines are dropped instead,
+    and the first line after the reader resumes reports how many.
     """
     reading, writing = os.pipe()
     os.set_blocking(writing, False)
@@ -33,8 +33,8 @@
 
 
 def test_lines_are_bounded_each_second() -> None:
-    # Times with few binary places: 0.3 s after a time of the machine's own clock can
-    # come out a little less, and three lines as two.
+    # These times are exact in binary. An interval such as 0.3 s after a reading of the
+    # system clock can be rounded down, so that two lines are allowed instead of three.
     sink = LineSink(-1, lines_per_s=12.0, burst=5.0)
     sink.filled_at = start = 100.0
     assert [sink.take_line(start) for _ in range(7)] == [True] * 5 + [False] * 2
--- a/tests/test_platform_client.py
+++ b/tests/test_platform_client.py
@@ -1,4 +1,4 @@
-"""The platform's client: budget, breaker and group commit."""
+"""The platform client: rate budget, circuit breaker and group commit."""
 
 import random
 
@@ -40,7 +40,7 @@
     assert taken <= 10 + 10 * 60 + 1
 
 
-def test_breaker_lets_one_call_try_while_open() -> None:
+def test_open_breaker_allows_one_probe_at_a_time() -> None:
     breaker = Breaker(random.Random(1))
     for _ in range(FAILURES_TO_OPEN):
         assert breaker.allow_call(0.0)
@@ -58,7 +58,7 @@
     assert breaker.allow_call(6.0)
 
 
-async def test_platform_that_is_away_is_not_asked_by_every_call() -> None:
+async def test_unreachable_platform_is_not_called_every_time() -> None:
     platform = StandinPlatform(PlatformStandinSettings())
     async with running(platform):
         settings = PlatformSettings(platform.server.url)
@@ -77,10 +77,10 @@
                         await anyio.sleep(0.02)
 
 
-async def test_group_commit_tells_each_its_own_outcome() -> None:
-    """Twenty claims come at once, two of them for a row that exists.
+async def test_group_commit_returns_each_transaction_its_own_outcome() -> None:
+    """Twenty claims are submitted at once, two of them for rows that already exist.
 
-    They go out in a few transactions; only the two are told of a conflict.
+    They are sent in a few transactions; only those two get a conflict.
     """
     table = Table()
     table.transact({}, {"claim/3": 1, "claim/4": 1})
@@ -111,7 +111,7 @@
     }
 
 
-async def test_group_commit_passes_on_that_the_outcome_is_not_known() -> None:
+async def test_group_commit_passes_on_an_unknown_outcome() -> None:
     async def send(checks: dict, writes: dict) -> Written:
         raise PlatformOutcomeUnknown("lost")
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""The programs as separate processes, as the Procfile runs them."""
+"""The programs as separate processes, started in the same way as by the Procfile."""
 
 from pathlib import Path
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings, the numbered configuration's document, and the programs' edges."""
+"""Settings files, configuration documents, and common options of the programs."""
 
 import json
 import shlex
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("name", APPS)
-def test_program_tells_its_version_and_helps(name: str) -> None:
+def test_program_prints_version_and_help(name: str) -> None:
     version = CliRunner().invoke(APPS[name], ["--version"])
     assert (version.exit_code, version.output.strip()) == (0, __version__)
     helped = CliRunner().invoke(APPS[name], ["--help"])
--- a/tests/test_time_agreement.py
+++ b/tests/test_time_agreement.py
@@ -1,4 +1,4 @@
-"""One time of day for all VMs, though single clocks jump."""
+"""The common time of day of all VMs while single clocks jump."""
 
 import time
 
@@ -50,7 +50,7 @@
 
 
 def test_suspended_vm_is_right_again_with_the_next_answer() -> None:
-    """A VM stands still for 30 s, and so does the clock that it goes by."""
+    """A VM is suspended for 30 s, and its monotonic clock stops meanwhile."""
     own = JumpyClock()
     clock = agreed(FakePlatform(), own)
     before = clock.wall()
@@ -106,10 +106,10 @@
 async def test_usage_windows_stay_true_while_the_holders_clock_jumps(
     http: httpx.AsyncClient, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The VM that reports usage finds its time of day forty minutes ahead.
+    """The time of day of the VM that reports usage jumps forty minutes ahead.
 
-    By that clock hundreds of windows were due at once, empty, and the true ones would
-    find themselves taken. The windows go on one after the other.
+    By that clock hundreds of empty windows would be due at once, and the true windows
+    would later count as already reported. Windows must still follow one by one.
     """
     async with running(Fleet()) as fleet:
         await fleet.until(lambda: fleet.store.reports)
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -1,4 +1,4 @@
-"""Usage from callers' answers to the platform's intake, over real sockets."""
+"""Usage, from answers to callers to the platform's intake."""
 
 from typing import Any
 
@@ -60,7 +60,7 @@
         assert sum(s.output_tokens for s in sums) == 20
 
 
-async def test_node_row_tells_the_configuration_and_takes_one_write(
+async def test_node_row_publishes_the_configuration_in_one_write(
     system: DevSystem,
 ) -> None:
     async with running(system):
@@ -71,10 +71,10 @@
 
 
 def test_long_outage_is_bounded_in_memory_and_loses_nothing() -> None:
-    """The table is away for a day of one-minute windows, while work goes on.
+    """The table is unreachable for a day of one-minute windows, under constant load.
 
-    Only unsent windows are added up, so that what was perhaps taken is never billed
-    under another window's name; the sum is whole when the table is back.
+    Only windows that were never sent may be merged, as usage that may already be in a
+    frozen window would be billed twice. No usage is lost when the table recovers.
     """
     platform = FakePlatform()
     journal = Journal("entry-1", "a", 60)
@@ -97,7 +97,7 @@
 
 
 class FakeClock:
-    """A clock that stands until a test moves it."""
+    """A clock that moves only when a test sets it."""
 
     def __init__(self, at: float) -> None:
         self.at = at
@@ -110,7 +110,7 @@
 
 
 class Windows:
-    """Entries that write to a table, and the holder of the usage duty."""
+    """Helpers that act as entries and as the holder of the usage duty on one table."""
 
     def __init__(self) -> None:
         self.platform = FakePlatform()
@@ -118,7 +118,7 @@
         self.platform.table.transact({}, {"usage/head": head})
 
     def entry(self, node: str, at: float) -> Journal:
-        """Return the journal of an entry that began with one request at `at`."""
+        """Return the journal of an entry that started with one request at `at`."""
         journal = Journal(node, "a", TIMING.window_s)
         journal.add(KEY, UsageSum(1, 2, 3), at)
         self.write(journal, at)
@@ -132,7 +132,7 @@
         return self.platform.run(freeze_next({}, at, TIMING))
 
     def billed(self) -> int:
-        """Return the requests that stand in windows."""
+        """Return the requests in the last frozen window."""
         name = max(self.platform.objects)
         figures = decode_window(self.platform.objects[name]).figures
         return sum(row[3] for row in figures)
@@ -144,7 +144,7 @@
 
 
 def test_window_is_frozen_as_soon_as_every_entry_is_past_it(windows: Windows) -> None:
-    """A holder that waits out the grace may be gone by its end, and the report late."""
+    """A holder that waited for the whole grace could fail meanwhile and report late."""
     entries = [windows.entry(f"e{n}", 1005.0) for n in range(3)]
     assert isinstance(windows.freeze(1009.0), NotDue)
     for entry in entries:
@@ -153,8 +153,10 @@
 
 
 def test_entry_that_the_table_turns_away_is_waited_for(windows: Windows) -> None:
-    """The table turns one of two entries away from before a window's end until 5 s
-    after it. Its requests were missing in that window, and too many in a later one."""
+    """The table refuses one of two entries from before a window's end until 5 s after.
+
+    If the window were frozen without that entry, its requests would be missing there
+    and would be billed in a later window."""
     entry, away = windows.entry("e1", 1005.0), windows.entry("e2", 1005.0)
     away.add(KEY, UsageSum(1, 2, 3), 1006.0)
     windows.write(entry, 1011.0)
@@ -166,10 +168,10 @@
     assert windows.billed() == 3
 
 
-def test_run_that_a_newer_one_of_its_entry_follows_is_not_waited_for(
+def test_window_does_not_wait_for_a_superseded_run(
     windows: Windows,
 ) -> None:
-    """A process is killed and started again; what it had written is billed in time."""
+    """A process is killed and restarted; usage that it had written is billed in time."""
     killed = windows.entry("e1", 1005.0)
     windows.write(Journal("e1", "a", TIMING.window_s), 1011.0)
     sealed = (killed.incarnation,)
@@ -177,7 +179,7 @@
     assert windows.billed() == 1
 
 
-def test_entry_that_died_for_good_is_waited_for_no_longer_than_the_grace(
+def test_window_waits_for_a_dead_entry_no_longer_than_the_grace(
     windows: Windows,
 ) -> None:
     dead = windows.entry("e1", 1005.0)
@@ -187,10 +189,10 @@
     assert windows.billed() == 1
 
 
-def test_entry_whose_row_was_closed_bills_only_what_the_row_does_not_hold(
+def test_entry_whose_row_was_sealed_bills_only_usage_that_the_row_lacks(
     windows: Windows,
 ) -> None:
-    """An entry freezes past the grace and wakes with one request it had not written."""
+    """An entry is suspended past the grace and resumes with one unwritten request."""
     entry = windows.entry("e1", 1005.0)
     entry.add(KEY, UsageSum(1, 2, 3), 1006.0)
     assert isinstance(windows.freeze(1016.0), Frozen)
@@ -202,12 +204,13 @@
     assert windows.billed() == 1
 
 
-def test_first_row_of_a_run_closes_no_window_that_it_brings_figures_for(
+def test_first_row_of_a_run_declares_no_window_with_unwritten_figures_final(
     windows: Windows,
 ) -> None:
-    """An entry starts while the table turns it away. Its first write only makes its
-    row; a freeze between that one and the next took its earlier windows for empty, and
-    never looked at them again."""
+    """An entry starts while the table refuses it, and its first write only creates its row.
+
+    If that row declared earlier windows final, a freeze before the next write would
+    take them as empty, and their usage would be lost."""
     entry = Journal("e1", "a", TIMING.window_s)
     entry.add(KEY, UsageSum(1, 2, 3), 1005.0)
     windows.write(entry, 1012.0)
@@ -217,11 +220,13 @@
     assert windows.billed() == 1
 
 
-def test_run_that_a_newer_one_follows_is_closed_also_just_after_an_outage(
+def test_superseded_run_is_sealed_even_just_after_an_outage(
     windows: Windows,
 ) -> None:
-    """A VM stops during an outage and starts again; waiting for what its old run kept
-    made the window late, and nothing more could come of it."""
+    """A VM restarts during an outage.
+
+    Waiting for usage that its old run had buffered would delay the window for nothing,
+    as that run has ended."""
     killed = windows.entry("e1", 1005.0)
     windows.write(Journal("e1", "a", TIMING.window_s), 1020.0)
     steps = freeze_next({}, 1020.1, TIMING, may_seal=False)
@@ -229,11 +234,13 @@
     assert windows.platform.run(steps) == Frozen(1000, 1, late=False, sealed=sealed)
 
 
-def test_entries_are_not_closed_while_they_write_after_an_outage(
+def test_entries_are_not_sealed_while_they_write_after_an_outage(
     windows: Windows,
 ) -> None:
-    """The table was away for longer than the grace, and its first caller is the holder:
-    it took every entry for dead, and billed nothing of what they had kept."""
+    """The table is unreachable for longer than the grace, and the holder is first to reach it.
+
+    If the holder took every entry for dead, it would bill nothing of what they had
+    buffered."""
     entries = [windows.entry(f"e{n}", 1005.0) for n in range(2)]
     for entry in entries:
         entry.add(KEY, UsageSum(1, 2, 3), 1006.0)
@@ -246,13 +253,13 @@
     assert windows.billed() == 4
 
 
-def test_entry_that_was_closed_is_waited_for_in_the_next_window(
+def test_next_window_waits_for_an_entry_whose_row_was_sealed(
     windows: Windows,
 ) -> None:
-    """An entry is cut off for longer than the grace of the window that it was in.
+    """An entry is disconnected for longer than the grace of its current window.
 
-    Its row is closed, and the next window looked complete: it was frozen at once,
-    without what the entry brings when it is back a second later."""
+    Its row is sealed, so the next window looks complete. Frozen at once, it would lack
+    the usage that the entry writes when it reconnects a second later."""
     stays, away = windows.entry("e1", 1005.0), windows.entry("e2", 1005.0)
     for at in (1011.0, 1021.0):
         windows.write(stays, at)
@@ -266,7 +273,7 @@
     assert windows.billed() == 1
 
 
-def test_entry_that_stays_away_holds_up_no_later_windows(windows: Windows) -> None:
+def test_dead_entry_does_not_delay_later_windows(windows: Windows) -> None:
     stays = windows.entry("e1", 1005.0)
     away = windows.entry("e2", 1005.0)
     windows.write(stays, 1061.0)
@@ -279,7 +286,7 @@
 
 
 class Intake:
-    """A platform whose table can be away while it takes reports."""
+    """A platform whose table can be unreachable while its intake accepts reports."""
 
     def __init__(self, platform: FakePlatform) -> None:
         self.platform = platform
@@ -316,8 +323,10 @@
 async def test_window_is_reported_though_the_table_goes_away_once_it_is_frozen(
     windows: Windows,
 ) -> None:
-    """The table goes away just after a window was frozen. Its figures were read back
-    from there before they were sent: the report came after the outage, too late."""
+    """The table becomes unreachable just after a window was frozen.
+
+    If the figures had to be read from the table before they were sent, the report would
+    be delayed until after the outage, too late."""
     clock = FakeClock(1011.6)
     intake = Intake(windows.platform)
     duty = UsageDuty(intake, clock, TIMING, CollectorRegistry())
--- a/tests/test_usage_model.py
+++ b/tests/test_usage_model.py
@@ -1,4 +1,4 @@
-"""Usage from meter to intake while everything between them fails."""
+"""A model of usage, from meter to intake, under faults of all parts between them."""
 
 from collections.abc import Iterable
 from itertools import count
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -103,11 +103,11 @@
 async def test_caller_that_hangs_up_cancels_the_engine_and_is_metered(
     system: DevSystem, http: httpx.AsyncClient
 ) -> None:
-    """The caller goes after a few tokens of a long answer.
+    """The caller disconnects after a few tokens of a long answer.
 
-    The entry sees the broken connection and closes its own to the engine, which drops
-    the sequence; else the engine would write on for nobody. What was generated is
-    billed, since it was work.
+    The entry closes its connection to the engine, which cancels the sequence; otherwise
+    the engine would continue to generate unread tokens. Tokens generated so far are
+    billed, since they used the engine.
     """
     async with running(system):
         entry = system.entries[0]
@@ -130,10 +130,10 @@
 async def test_stream_cut_by_a_crash_is_resumed_without_repeat_or_gap(
     system: DevSystem, http: httpx.AsyncClient
 ) -> None:
-    """The caller sees one whole answer although its engine died half-way.
+    """The caller receives one complete answer although its engine crashes halfway.
 
-    The connection to the engine breaks after some tokens; the entry starts a second
-    attempt elsewhere that goes on after the last token which the caller has.
+    The connection to the engine breaks after some tokens. The entry makes a second
+    attempt on another engine, which continues after the last token that the caller has.
     """
     async with running(system):
         url = f"{system.entries[0].server.url}/v1/chat/completions"
@@ -156,11 +156,11 @@
         assert sum(len(engine.served) for engine in system.engines) == 2
 
 
-async def test_caller_that_stalls_in_its_body_is_told_so(system: DevSystem) -> None:
-    """The caller opens a request and never ends its body.
+async def test_caller_that_stalls_in_its_body_gets_an_error(system: DevSystem) -> None:
+    """The caller starts a request and never completes its body.
 
-    The entry waits for its limit and answers 408, so a few stalled callers cannot hold
-    connections and memory for ever; the engines hear nothing.
+    The entry answers 408 after its time limit, so that stalled callers cannot hold
+    connections and memory indefinitely. No engine receives the request.
     """
     async with running(system):
         front = system.entries[0].app.front
@@ -193,9 +193,9 @@
 async def test_path_that_climbs_out_of_an_idempotent_one_is_not_below_it(
     path: str, below: bool
 ) -> None:
-    """`/drafts` may be repeated, `/charge` may not, and `/drafts/../charge` is a charge.
+    """`/drafts` may be retried, `/charge` may not, and `/drafts/../charge` is a charge.
 
-    Were it taken for a draft, a charge whose connection broke would be sent again.
+    If it counted as a draft, a charge whose connection broke would be sent again.
     """
     assert is_below(path, ["/drafts"]) is below
 
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock jumps to the next thing that is due."""
+"""An event loop in virtual time: its clock jumps to the next scheduled callback."""
 
 import asyncio
 import selectors
@@ -8,7 +8,7 @@
 
 
 class JumpingSelector(selectors.DefaultSelector):  # type: ignore[misc, valid-type]
-    """Lets time pass instead of waiting for it."""
+    """Advances the virtual clock instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -21,7 +21,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop for code without I/O; the same run takes the same virtual time."""
+    """An event loop for code without I/O; repeated runs take the same virtual time."""
 
     def __init__(self) -> None:
         self.jumping = JumpingSelector()
