--- a/src/godwitmast/config/change.py
+++ b/src/godwitmast/config/change.py
@@ -34,7 +34,7 @@
 """Changes between two snapshots; bounds the changes that a new node has to read."""
 
 MAX_WRITE_ATTEMPTS = 4
-"""Writes of one patch, while their outcome is unknown, before the caller is told so."""
+"""Write attempts with unknown outcome before the caller gets an unknown outcome."""
 
 
 class Patch(NamedTuple):
--- a/src/godwitmast/config/document.py
+++ b/src/godwitmast/config/document.py
@@ -63,10 +63,10 @@
 
 
 class ColdStart(NamedTuple):
-    """The request rate that a server can take while it warms up after its start.
+    """The request rate that a server can serve while it warms up after its start.
 
-    For `start_s` it takes `per_s` requests a second from all entries together, and
-    never more than `most` within one second.
+    For `start_s` it can serve `per_s` requests a second from all entries together, and
+    at most `most` within one second.
     """
 
     per_s: Positive
--- a/src/godwitmast/config/parsing.py
+++ b/src/godwitmast/config/parsing.py
@@ -59,17 +59,17 @@
     for section, items in patch.items():
         if not isinstance(items, dict):
             return parse_document(raw)
-        kept = dict(getattr(before, section))
+        items_after = dict(getattr(before, section))
         for name in items:
-            kept.pop(name, None)
+            items_after.pop(name, None)
             if name in raw[section]:
                 try:
                     item = ITEM_ADAPTERS[section].validate_python(raw[section][name])
                 except ValidationError:
                     # Only validation of the whole document gives full paths.
                     return parse_document(raw)
-                kept[name] = item
-        changed[section] = kept
+                items_after[name] = item
+        changed[section] = items_after
     document = before._replace(**changed)
     problems = find_problems(document)
     if problems:
--- a/src/godwitmast/logs.py
+++ b/src/godwitmast/logs.py
@@ -86,7 +86,7 @@
 def setup_logs(
     program: str, level: str = "INFO", target: LogTarget = LogTarget.STDERR
 ) -> None:
-    """Send events as key=value lines to standard error, or where `target` says."""
+    """Send events as key=value lines to standard error, or to `target`."""
     logger.remove()
     logger.configure(extra={"program": program})
     sink: Any = sys.stderr
--- a/src/godwitmast/platform_api/client.py
+++ b/src/godwitmast/platform_api/client.py
@@ -107,7 +107,7 @@
         return [FleetServer(**item) for item in answer.json()["servers"]]
 
     async def order(self, body: Json, timeout_s: float) -> httpx.Response:
-        """Send an order for backend servers; the body of a 409 says why it was refused."""
+        """Send an order for backend servers; the body of a 409 gives the reason for a refusal."""
         good = (200, 409)
         return await self.send("POST", "/orders", good, json=body, timeout=timeout_s)
 
--- a/src/godwitmast/platform_api/feed.py
+++ b/src/godwitmast/platform_api/feed.py
@@ -38,8 +38,8 @@
     """The last known rows of a table, without I/O.
 
     Load pattern: the platform's store is unreachable for longer than the rows of
-    backend servers last without a heartbeat. Its first answers after recovery say that
-    every server is gone, although all of them are up. Removing them at once would empty
+    backend servers last without a heartbeat. Its first answers after recovery list
+    every row as removed, although all servers are up. Removing them at once would empty
     the whole fleet, and every request would be refused until the heartbeats arrive. So
     if a large fraction of the rows was removed during an outage, they are kept for
     `RETURN_GRACE_S` after it. Fewer are removed at once, as is any row that is removed
--- a/src/godwitmast/platform_api/steps.py
+++ b/src/godwitmast/platform_api/steps.py
@@ -21,7 +21,7 @@
     NOT_DONE = "not_done"
     """Nothing took effect."""
     UNKNOWN = "unknown"
-    """A write may have taken effect, or may still; only reading again can tell."""
+    """A write may have taken effect, or may still do so; reading again shows which."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/godwitmast/tls.py
+++ b/src/godwitmast/tls.py
@@ -111,7 +111,7 @@
 
 
 def trusting_nobody() -> ssl.SSLContext:
-    """Return a context for clients that speak plain HTTP only.
+    """Return a context for clients that use plain HTTP only.
 
     The default context loads all well-known authorities, which takes megabytes.
     """
--- a/src/godwitmast/usage/journal.py
+++ b/src/godwitmast/usage/journal.py
@@ -41,7 +41,7 @@
     UNSURE = "unsure"
     """The outcome is unknown; the same row is sent again until it is known to be stored."""
     SEALED = "sealed"
-    """The row was sealed by the duty's holder; the rest goes under a new incarnation."""
+    """The row was sealed by the duty's holder; the rest is written under a new one."""
 
 
 class Journal:
--- a/src/godwitmast/usage/writer.py
+++ b/src/godwitmast/usage/writer.py
@@ -23,7 +23,7 @@
 windows in the row cost only bytes, a thousandth of the cost of a call."""
 
 ROW_WRITES_PER_S = 40.0
-"""Limit for all entries together: at most a fifth of what one part of a table takes."""
+"""Limit for all entries together: at most a fifth of what one part of a table accepts."""
 
 RETRY_FRACTION = 0.4
 """A failed write is retried after this fraction of the flush interval: a table that
