--- a/src/godwitmast/usage/duty.py
+++ b/src/godwitmast/usage/duty.py
@@ -151,7 +151,7 @@
 
     def record_frozen(self, frozen: Frozen) -> None:
         """Keep a window until it is reported, in case the table becomes unreachable."""
-        for run in frozen.sealed:
+        for run in frozen.sealed_runs:
             log_event("usage_sealed", level="WARNING", run=run)
         start, late = frozen.start, frozen.late
         log_event("usage_frozen", window=start, runs=frozen.runs, late=late)
--- a/src/godwitmast/usage/journal.py
+++ b/src/godwitmast/usage/journal.py
@@ -211,13 +211,13 @@
         self.start_incarnation()
 
     @property
-    def is_fully_written(self) -> bool:
+    def holds_all(self) -> bool:
         """Return whether the table holds all usage in this journal."""
         if self.pending is not None or self.last is None:
             return not self.segments
         return self.last.segments == self.segments
 
-    def drop_frozen(self, head: UsageHead) -> None:
+    def forget(self, head: UsageHead) -> None:
         """Drop the segments of frozen windows."""
         mark = head.marks.get(self.incarnation, -1)
         for window_start in [
--- a/src/godwitmast/usage/windows.py
+++ b/src/godwitmast/usage/windows.py
@@ -98,14 +98,14 @@
 class Frozen:
     """A window was frozen; `late` says whether it includes usage of earlier ones.
 
-    `sealed` are the runs whose rows were sealed for it. `window` and `digest` are the
+    `sealed_runs` are the runs whose rows were sealed for it. `window` and `digest` are the
     content of its object, so that it can be reported while the table is unreachable.
     """
 
     start: int
     runs: int
     late: bool
-    sealed: tuple[str, ...] = ()
+    sealed_runs: tuple[str, ...] = ()
     window: FrozenWindow | None = field(default=None, compare=False)
     digest: str = field(default="", compare=False)
 
@@ -211,8 +211,8 @@
     if digest is None:
         return NotWritten()
     window, runs = collected.window, collected.runs
-    sealed = tuple(rows[key].incarnation for key in sealable)
-    return Frozen(start, runs, bool(window.late), sealed, window, digest)
+    sealed_runs = tuple(rows[key].incarnation for key in sealable)
+    return Frozen(start, runs, bool(window.late), sealed_runs, window, digest)
 
 
 def create_head(lease: Checks, wall: float, width: int) -> Steps[bool]:
@@ -336,8 +336,8 @@
     incarnation with the rest.
     """
     key = node_key(row.incarnation)
-    sealed = row._replace(ended=True, sealed=True)
-    result = yield Transact({**lease, key: version}, {key: dump_node(sealed)})
+    sealed_row = row._replace(ended=True, sealed=True)
+    result = yield Transact({**lease, key: version}, {key: dump_node(sealed_row)})
     return isinstance(result, Written)
 
 
--- a/src/godwitmast/usage/writer.py
+++ b/src/godwitmast/usage/writer.py
@@ -128,7 +128,7 @@
             self.marks_read_at = now
             head = await self.read_head()
             if head is not None:
-                self.journal.drop_frozen(head)
+                self.journal.forget(head)
 
     async def read_head(self) -> UsageHead | None:
         """Return how far windows are frozen; an old copy only understates it."""
@@ -155,4 +155,4 @@
         """Write the last row; return whether the table now has it."""
         await self.flush(ended=True)
         last = self.journal.last
-        return last is not None and last.ended and self.journal.is_fully_written
+        return last is not None and last.ended and self.journal.holds_all
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -90,7 +90,7 @@
             steps.close()
     assert len(journal.segments) <= MAX_SEGMENTS + 1
     platform.away = False
-    while not (journal.last and journal.last.ended and journal.is_fully_written):
+    while not (journal.last and journal.last.ended and journal.holds_all):
         platform.run(journal.flush(90_000.0, ended=True))
     row = load_node(platform.table.read([journal.key])[journal.key].value)
     assert sum(sums[KEY].requests for sums in row.segments.values()) == 24 * 60
@@ -174,8 +174,10 @@
     """A process is killed and restarted; usage that it had written is billed in time."""
     killed = windows.entry("e1", 1005.0)
     windows.write(Journal("e1", "a", TIMING.window_s), 1011.0)
-    sealed = (killed.incarnation,)
-    assert windows.freeze(1011.6) == Frozen(1000, 1, late=False, sealed=sealed)
+    sealed_runs = (killed.incarnation,)
+    assert windows.freeze(1011.6) == Frozen(
+        1000, 1, late=False, sealed_runs=sealed_runs
+    )
     assert windows.billed() == 1
 
 
@@ -184,8 +186,10 @@
 ) -> None:
     dead = windows.entry("e1", 1005.0)
     assert isinstance(windows.freeze(1015.9), NotDue)
-    sealed = (dead.incarnation,)
-    assert windows.freeze(1016.0) == Frozen(1000, 1, late=False, sealed=sealed)
+    sealed_runs = (dead.incarnation,)
+    assert windows.freeze(1016.0) == Frozen(
+        1000, 1, late=False, sealed_runs=sealed_runs
+    )
     assert windows.billed() == 1
 
 
@@ -230,8 +234,10 @@
     killed = windows.entry("e1", 1005.0)
     windows.write(Journal("e1", "a", TIMING.window_s), 1020.0)
     steps = freeze_next({}, 1020.1, TIMING, may_seal=False)
-    sealed = (killed.incarnation,)
-    assert windows.platform.run(steps) == Frozen(1000, 1, late=False, sealed=sealed)
+    sealed_runs = (killed.incarnation,)
+    assert windows.platform.run(steps) == Frozen(
+        1000, 1, late=False, sealed_runs=sealed_runs
+    )
 
 
 def test_entries_are_not_sealed_while_they_write_after_an_outage(
@@ -277,8 +283,10 @@
     stays = windows.entry("e1", 1005.0)
     away = windows.entry("e2", 1005.0)
     windows.write(stays, 1061.0)
-    sealed = (away.incarnation,)
-    assert windows.freeze(1061.0) == Frozen(1000, 2, late=False, sealed=sealed)
+    sealed_runs = (away.incarnation,)
+    assert windows.freeze(1061.0) == Frozen(
+        1000, 2, late=False, sealed_runs=sealed_runs
+    )
     for start in range(1010, 1050, 10):
         assert windows.freeze(1061.0) == Frozen(start, 0, late=False)
     windows.write(stays, 1071.0)
--- a/tests/test_usage_model.py
+++ b/tests/test_usage_model.py
@@ -1,4 +1,8 @@
-"""A model of usage, from meter to intake, under faults of all parts between them."""
+"""A model of usage, from meter to intake, under faults of all parts between them.
+
+Hypothesis seeds itself from the source of the model classes. Imports under other names
+keep that source, and so the examples, unchanged.
+"""
 
 from collections.abc import Iterable
 from itertools import count
@@ -10,7 +14,8 @@
 
 from fakes import FakePlatform, Fate
 from godwitmast.platform_api.steps import Steps, Transact
-from godwitmast.usage.journal import FlushOutcome, Journal, read_marks
+from godwitmast.usage.journal import FlushOutcome as Flushed
+from godwitmast.usage.journal import Journal, read_marks
 from godwitmast.usage.meter import UsageKey, UsageSum
 from godwitmast.usage.rows import (
     HEAD_KEY,
@@ -24,13 +29,13 @@
     DueReport,
     Frozen,
     UsageTiming,
-    collect_window,
     freeze_next,
     mark_reported,
     next_report,
-    remove_row,
-    seal_row,
 )
+from godwitmast.usage.windows import collect_window as gather
+from godwitmast.usage.windows import remove_row as drop
+from godwitmast.usage.windows import seal_row as seal
 from models import BROKEN_EXAMPLES, EXPLORED, explore, without_compare
 
 TIMING = UsageTiming(window_s=10, flush_s=1, grace_s=2, seal_s=5, keep_s=20)
@@ -108,7 +113,7 @@
             self.flushes[who][1] = steps.send(self.platform.take(step, fate))
         except StopIteration as stop:
             self.flushes[who] = None
-            if stop.value is FlushOutcome.SEALED and gone:
+            if stop.value is Flushed.SEALED and gone:
                 self.may_miss += unsaved
 
     def unsaved(self, journal: Journal) -> int:
@@ -122,7 +127,7 @@
         self.tick()
         head = self.platform.run(read_marks()) if not self.platform.away else None
         if head is not None:
-            self.journals[who].drop_frozen(head)
+            self.journals[who].forget(head)
 
     @rule(who=ENTRIES)
     def entry_dies(self, who: int) -> None:
@@ -184,9 +189,9 @@
         _, row = rows[index % len(rows)]
         node = load_node(row.value)
         if remove and node.ended:
-            self.platform.run(remove_row(self.leases[who], node, row.version))
+            self.platform.run(drop(self.leases[who], node, row.version))
         elif not node.ended:
-            self.platform.run(seal_row(self.leases[who], node, row.version))
+            self.platform.run(seal(self.leases[who], node, row.version))
 
     @rule(index=st.integers(0, 5))
     def late_write_arrives(self, index: int) -> None:
@@ -222,9 +227,7 @@
         for who, journal in enumerate(self.journals):
             while self.flushes[who] is not None:
                 self.advance_flush(who, Fate.ANSWERED)
-            while not (
-                journal.last and journal.last.ended and journal.is_fully_written
-            ):
+            while not (journal.last and journal.last.ended and journal.holds_all):
                 self.flushes[who] = [steps := journal.flush(self.wall, ended=True), 0]
                 self.flushes[who][1] = next(steps)
                 while self.flushes[who] is not None:
@@ -233,7 +236,7 @@
         for node in self.platform.table.scan(NODE_PREFIX, "", 100):
             row = load_node(node[1].value)
             if not row.ended:
-                self.platform.run(seal_row(self.leases[0], row, node[1].version))
+                self.platform.run(seal(self.leases[0], row, node[1].version))
         self.wall += 5 * TIMING.window_s
         self.platform.run(freeze_next(self.leases[0], self.wall, TIMING))
         # What an earlier start of the first window left out comes as late usage.
@@ -258,7 +261,7 @@
         nodes = [load_node(row.value) for _, row in rows]
         head = UsageHead(**self.platform.table.read([HEAD_KEY])[HEAD_KEY].value)
         marks = dict.fromkeys(head.marks, due.window.start - TIMING.window_s)
-        return collect_window(nodes, marks, due.window.start, TIMING.window_s).window
+        return gather(nodes, marks, due.window.start, TIMING.window_s).window
 
 
 class WithoutCompare(UsageModel):
