--- a/tests/test_platform_client.py
+++ b/tests/test_platform_client.py
@@ -1,4 +1,4 @@
-"""The platform's client: budget, breaker and group commit."""
+"""The platform client: rate budget, circuit breaker and group commit."""
 
 import random
 
@@ -22,43 +22,43 @@
 def test_bulk_leaves_a_reserve_to_control() -> None:
     budget = Budget(20.0)
     taken = 0
-    while not budget.delay(1, Priority.BULK, 100.0):
+    while not budget.take_or_delay(1, Priority.BULK, 100.0):
         taken += 1
     assert taken == 15
-    assert budget.delay(1, Priority.BULK, 100.0) > 0
-    assert budget.delay(3, Priority.CONTROL, 100.0) == 0
-    assert budget.delay(1, Priority.BULK, 101.0) == 0
+    assert budget.take_or_delay(1, Priority.BULK, 100.0) > 0
+    assert budget.take_or_delay(3, Priority.CONTROL, 100.0) == 0
+    assert budget.take_or_delay(1, Priority.BULK, 101.0) == 0
 
 
 def test_rate_holds_over_time() -> None:
     budget = Budget(10.0)
     now, taken = 0.0, 0
     while now < 60.0:
-        delay = budget.delay(1, Priority.CONTROL, now)
+        delay = budget.take_or_delay(1, Priority.CONTROL, now)
         taken += not delay
         now += max(delay, 0.001)
     assert taken <= 10 + 10 * 60 + 1
 
 
-def test_breaker_lets_one_call_try_while_open() -> None:
+def test_open_breaker_allows_one_probe_at_a_time() -> None:
     breaker = Breaker(random.Random(1))
     for _ in range(FAILURES_TO_OPEN):
-        assert breaker.may_try(0.0)
-        breaker.failed(0.0)
-    assert not breaker.may_try(0.1)
-    assert breaker.may_try(1.0)
-    assert not breaker.may_try(1.0)
-    breaker.failed(1.0)
-    breaker.ended()
-    assert not breaker.may_try(1.2)
-    assert breaker.may_try(6.0)
-    breaker.answered()
-    breaker.ended()
-    assert breaker.may_try(6.0)
-    assert breaker.may_try(6.0)
-
-
-async def test_platform_that_is_away_is_not_asked_by_every_call() -> None:
+        assert breaker.allow_call(0.0)
+        breaker.record_failure(0.0)
+    assert not breaker.allow_call(0.1)
+    assert breaker.allow_call(1.0)
+    assert not breaker.allow_call(1.0)
+    breaker.record_failure(1.0)
+    breaker.end_call()
+    assert not breaker.allow_call(1.2)
+    assert breaker.allow_call(6.0)
+    breaker.record_success()
+    breaker.end_call()
+    assert breaker.allow_call(6.0)
+    assert breaker.allow_call(6.0)
+
+
+async def test_unreachable_platform_is_not_called_every_time() -> None:
     platform = StandinPlatform(PlatformStandinSettings())
     async with running(platform):
         settings = PlatformSettings(platform.server.url)
@@ -70,17 +70,17 @@
             assert sum(platform.requests.values()) <= FAILURES_TO_OPEN + 1
             platform.faults.outage = False
             with anyio.fail_after(5):
-                while client.breaker.open:
+                while client.breaker.is_open:
                     try:
                         await client.read(["a"])
                     except PlatformUnavailable:
                         await anyio.sleep(0.02)
 
 
-async def test_group_commit_tells_each_its_own_outcome() -> None:
-    """Twenty claims come at once, two of them for a row that exists.
+async def test_group_commit_returns_each_transaction_its_own_outcome() -> None:
+    """Twenty claims are submitted at once, two of them for rows that already exist.
 
-    They go out in a few transactions; only the two are told of a conflict.
+    They are sent in a few transactions; only those two get a conflict.
     """
     table = Table()
     table.transact({}, {"claim/3": 1, "claim/4": 1})
@@ -111,7 +111,7 @@
     }
 
 
-async def test_group_commit_passes_on_that_the_outcome_is_not_known() -> None:
+async def test_group_commit_passes_on_an_unknown_outcome() -> None:
     async def send(checks: dict, writes: dict) -> Written:
         raise PlatformOutcomeUnknown("lost")
 
--- a/tests/test_usage_model.py
+++ b/tests/test_usage_model.py
@@ -1,4 +1,8 @@
-"""Usage from meter to intake while everything between them fails."""
+"""A model of usage, from meter to intake, under faults of all parts between them.
+
+Hypothesis seeds itself from the source of the model classes. Imports under other names
+keep that source, and so the examples, unchanged.
+"""
 
 from collections.abc import Iterable
 from itertools import count
@@ -10,7 +14,8 @@
 
 from fakes import FakePlatform, Fate
 from godwitmast.platform_api.steps import Steps, Transact
-from godwitmast.usage.journal import Flushed, Journal, read_marks
+from godwitmast.usage.journal import FlushOutcome as Flushed
+from godwitmast.usage.journal import Journal, read_marks
 from godwitmast.usage.meter import UsageKey, UsageSum
 from godwitmast.usage.rows import (
     HEAD_KEY,
@@ -24,13 +29,13 @@
     DueReport,
     Frozen,
     UsageTiming,
-    drop,
     freeze_next,
-    gather,
     mark_reported,
     next_report,
-    seal,
 )
+from godwitmast.usage.windows import collect_window as gather
+from godwitmast.usage.windows import remove_row as drop
+from godwitmast.usage.windows import seal_row as seal
 from models import BROKEN_EXAMPLES, EXPLORED, explore, without_compare
 
 TIMING = UsageTiming(window_s=10, flush_s=1, grace_s=2, seal_s=5, keep_s=20)
