--- a/src/godwitmast/admission/__init__.py
+++ b/src/godwitmast/admission/__init__.py
@@ -1,1 +1,2 @@
-"""What is let in, what waits and for how long, and what is turned away."""
+"""Admission control: which requests are queued, in which order they start, and which
+are refused or preempted."""
--- a/src/godwitmast/admission/class_queue.py
+++ b/src/godwitmast/admission/class_queue.py
@@ -1,14 +1,14 @@
-"""One class on one pool: what waits, what runs, and what was measured of it."""
+"""Queue, running count and service times of one class on one pool."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
 from sortedcontainers import SortedList
 
-from godwitmast.admission.deadlines import ServiceTimes, Slack
+from godwitmast.admission.deadlines import ServiceTimes, StartDeadline
 from godwitmast.admission.estimates import DecayingRate
 from godwitmast.admission.fairness import FairQueue
-from godwitmast.admission.turns import Turns, began_to_wait
+from godwitmast.admission.turns import TurnCredit, reset_turns
 from godwitmast.config.document import RequestClass
 from godwitmast.dispatch.messages import RequestSpec
 from godwitmast.types import ClassName, PoolName, RequestId
@@ -16,11 +16,11 @@
 
 @dataclass(slots=True)
 class Job:
-    """A request that was let in and has not ended."""
+    """A queued or running request, with its charge and its state."""
 
     request: RequestSpec
-    slack: Slack
-    charged: float
+    start_deadline: StartDeadline
+    charged_tokens: float
     urgent_at: float
     started_at: float | None = None
     first_token_at: float | None = None
@@ -35,29 +35,30 @@
         return self.starts > 0
 
     @property
-    def expiry(self) -> tuple[float, RequestId]:
-        return (self.slack.latest_start, self.request.request_id)
+    def expiry_key(self) -> tuple[float, RequestId]:
+        return (self.start_deadline.latest_start, self.request.request_id)
 
 
 @dataclass(slots=True)
 class ClassQueue:
-    """The requests of one class on one pool.
+    """Waiting and running requests of one class on one pool.
 
-    `resumed` holds those that ran before and go first; `preemptible` those that run
-    and may be interrupted, in the order of their starts.
+    `resumed` holds waiting requests that ran before; they start first. `preemptible`
+    holds running requests that may be preempted, in the order of their first tokens.
+    `by_latest_start` sorts all waiting requests.
     """
 
     name: ClassName
     pool: PoolName
     target: RequestClass
-    fair: FairQueue = field(default_factory=FairQueue)
+    fair_queue: FairQueue = field(default_factory=FairQueue)
     resumed: OrderedDict[RequestId, Job] = field(default_factory=OrderedDict)
     preemptible: OrderedDict[RequestId, Job] = field(default_factory=OrderedDict)
-    urgency: SortedList = field(default_factory=SortedList)
+    by_latest_start: SortedList = field(default_factory=SortedList)
     running: int = 0
-    times: ServiceTimes = field(default_factory=ServiceTimes)
-    started: DecayingRate = field(default_factory=DecayingRate)
-    turns: Turns = field(default_factory=Turns)
+    service_times: ServiceTimes = field(default_factory=ServiceTimes)
+    start_rate: DecayingRate = field(default_factory=DecayingRate)
+    turns: TurnCredit = field(default_factory=TurnCredit)
 
     @property
     def tier(self) -> int:
@@ -73,36 +74,36 @@
 
     @property
     def hold_s(self) -> float | None:
-        return self.times.hold.value
+        return self.service_times.hold.value
 
     @property
     def waiting(self) -> int:
-        return self.fair.size + len(self.resumed)
+        return self.fair_queue.size + len(self.resumed)
 
     def add(self, job: Job, weight: float, now: float) -> None:
         """Queue a request that never ran."""
-        self.note_waiting(now)
-        self.fair.add(job.request, weight)
-        self.urgency.add(job.expiry)
+        self.reset_turns_if_empty(now)
+        self.fair_queue.add(job.request, weight)
+        self.by_latest_start.add(job.expiry_key)
 
     def add_resumed(self, job: Job, now: float) -> None:
-        """Queue a request that ran, before all that did not."""
-        self.note_waiting(now)
+        """Queue a request that ran before, ahead of those that never ran."""
+        self.reset_turns_if_empty(now)
         self.resumed[job.request.request_id] = job
-        self.urgency.add(job.expiry)
+        self.by_latest_start.add(job.expiry_key)
 
-    def note_waiting(self, now: float) -> None:
+    def reset_turns_if_empty(self, now: float) -> None:
         if not self.waiting:
-            began_to_wait(self.turns, now)
+            reset_turns(self.turns, now)
 
     def peek(self) -> RequestId:
-        """Return the request that goes next in this class."""
+        """Return the request of this class that starts next."""
         if self.resumed:
             return next(iter(self.resumed))
-        return self.fair.peek().request_id
+        return self.fair_queue.peek().request_id
 
     def remove(self, job: Job) -> None:
-        """Forget a request that waits."""
-        self.urgency.remove(job.expiry)
+        """Remove a waiting request."""
+        self.by_latest_start.remove(job.expiry_key)
         if self.resumed.pop(job.request.request_id, None) is None:
-            self.fair.remove(job.request)
+            self.fair_queue.remove(job.request)
--- a/src/godwitmast/admission/limits.py
+++ b/src/godwitmast/admission/limits.py
@@ -1,12 +1,12 @@
-"""A team's own limits: requests a second, tokens a second, requests at a time.
+"""Limits of a team: requests per second, tokens per second, and concurrency.
 
-The load is a team that sends more than was agreed, often a loop in its own code.
-Without limits it takes every idle share, is billed for it, and fills the queues that
-its own urgent requests wait in. Limits hold however idle the servers are.
+They stop a team that sends more than was agreed, often because of a loop in its own
+code. Without limits it uses all idle capacity, is billed for it, and fills the queues
+that its own urgent requests wait in. Limits apply even when servers are idle.
 
-Both rates are kept by the generic cell rate algorithm (ITU-T I.371): one time for
-each team, at which what it has used so far is paid off. It needs no timer, and says
-exactly when the next request fits, which is what callers are told.
+Both rates are enforced by the generic cell rate algorithm (ITU-T I.371), which keeps
+one theoretical arrival time (TAT) per team and rate. It needs no timer, and gives the
+exact time at which the next request fits, which becomes the Retry-After.
 """
 
 from dataclasses import dataclass
@@ -15,85 +15,89 @@
 from godwitmast.types import TeamName
 
 BURST_S = 2.0
-"""Seconds of its limit that a team may use at once: callers that keep to their rate
-still send in clumps, and a limit of one a second has to allow two together."""
+"""Burst allowance in seconds of the limit. Callers that keep to their rate on average
+still send in bursts, and a limit of one request a second has to allow two at once."""
 
 CONCURRENCY_RETRY_S = 1.0
-"""When to ask again for one of the team's places before any answer was timed."""
+"""Retry-After for the concurrency limit while no service time is known."""
 
 
 @dataclass(slots=True)
-class TeamUse:
-    """What a team has used of its limits."""
+class TeamUsage:
+    """A team's state for its limits: theoretical arrival times and open requests."""
 
-    requests_paid_at: float = 0.0
-    tokens_paid_at: float = 0.0
+    requests_tat: float = 0.0
+    tokens_tat: float = 0.0
     open_requests: int = 0
-    returns_at: float = 0.0
+    next_retry_at: float = 0.0
 
 
 class TeamLimits:
-    """The use of every team that has a limit or open requests."""
+    """Usage of every team that has a limit or open requests."""
 
     def __init__(self) -> None:
-        self.uses: dict[TeamName, TeamUse] = {}
+        self.usage_by_team: dict[TeamName, TeamUsage] = {}
 
-    def use(self, name: TeamName) -> TeamUse:
-        use = self.uses.get(name)
-        if use is None:
-            use = self.uses[name] = TeamUse()
-        return use
+    def usage(self, name: TeamName) -> TeamUsage:
+        usage = self.usage_by_team.get(name)
+        if usage is None:
+            usage = self.usage_by_team[name] = TeamUsage()
+        return usage
 
-    def wait(
+    def wait_s(
         self, name: TeamName, team: Team, hold_s: float | None, now: float
     ) -> float:
-        """Return how long a request is over the team's limits; 0 lets it in.
+        """Return how many seconds the team's limits delay a request; 0 if they do not.
 
-        `hold_s` is how long one of the team's requests stays open.
+        `hold_s` is the mean time that a request of the team stays open.
         """
-        use = self.use(name)
+        usage = self.usage(name)
         waits = [0.0]
         if team.requests_per_s is not None:
             burst = max(0.0, BURST_S - 1 / team.requests_per_s)
-            waits.append(use.requests_paid_at - burst - now)
+            waits.append(usage.requests_tat - burst - now)
         if team.tokens_per_s is not None:
-            waits.append(use.tokens_paid_at - BURST_S - now)
-        if team.concurrency is not None and use.open_requests >= team.concurrency:
+            waits.append(usage.tokens_tat - BURST_S - now)
+        if team.concurrency is not None and usage.open_requests >= team.concurrency:
             waits.append((hold_s or CONCURRENCY_RETRY_S) / team.concurrency)
         return max(waits)
 
-    def opened(self, name: TeamName, team: Team, now: float) -> None:
-        """Count a request that is let in."""
-        self.use(name).open_requests += 1
-        self.use_requests(name, team, 1, now)
+    def record_admitted(self, name: TeamName, team: Team, now: float) -> None:
+        """Count an admitted request as open, and charge the request rate."""
+        self.usage(name).open_requests += 1
+        self.charge_requests(name, team, 1, now)
 
-    def closed(self, name: TeamName) -> None:
-        """Count a request that ended."""
-        self.use(name).open_requests -= 1
+    def record_ended(self, name: TeamName) -> None:
+        """Count a request as no longer open."""
+        self.usage(name).open_requests -= 1
 
-    def use_requests(self, name: TeamName, team: Team, count: int, now: float) -> None:
+    def charge_requests(
+        self, name: TeamName, team: Team, count: int, now: float
+    ) -> None:
         if team.requests_per_s is not None:
-            use = self.use(name)
-            paid_at = max(use.requests_paid_at, now)
-            use.requests_paid_at = paid_at + count / team.requests_per_s
-
-    def use_tokens(self, name: TeamName, team: Team, tokens: float, now: float) -> None:
-        """Count tokens against the limit; less than none gives some back."""
+            usage = self.usage(name)
+            tat = max(usage.requests_tat, now)
+            usage.requests_tat = tat + count / team.requests_per_s
+
+    def charge_tokens(
+        self, name: TeamName, team: Team, tokens: float, now: float
+    ) -> None:
+        """Charge tokens to the token rate; a negative number is a refund."""
         if team.tokens_per_s is not None:
-            use = self.use(name)
-            paid_at = max(use.tokens_paid_at, now)
-            use.tokens_paid_at = paid_at + tokens / team.tokens_per_s
+            usage = self.usage(name)
+            tat = max(usage.tokens_tat, now)
+            usage.tokens_tat = tat + tokens / team.tokens_per_s
 
-    def next_return(
+    def next_retry_after(
         self, name: TeamName, team: Team, wait_s: float, now: float
     ) -> float:
-        """Return the Retry-After of a request over the limits.
+        """Return the Retry-After, in seconds, of a request over the limits.
 
-        Each refused request gets a later time than the one before, at the pace of the
-        limit: told the same time, they would all come back at it, and all but one be
-        refused again.
+        Consecutive refusals get times spaced at the rate of the limit. With the same
+        time for all, they would return together, and all but one would be refused
+        again.
         """
-        use = self.use(name)
-        gap = 1 / team.requests_per_s if team.requests_per_s else 0.0
-        use.returns_at = max(use.returns_at + gap, now + wait_s)
-        return use.returns_at - now
+        usage = self.usage(name)
+        step_s = 1 / team.requests_per_s if team.requests_per_s else 0.0
+        usage.next_retry_at = max(usage.next_retry_at + step_s, now + wait_s)
+        return usage.next_retry_at - now
--- a/src/godwitmast/admission/pool_queues.py
+++ b/src/godwitmast/admission/pool_queues.py
@@ -1,18 +1,18 @@
-"""The classes of one pool, and what a new request finds ahead of it there."""
+"""Class queues of one pool, and the wait that a new request can expect there."""
 
 from dataclasses import dataclass, field
 
 from godwitmast.admission.class_queue import ClassQueue
-from godwitmast.admission.turns import AGED_S
+from godwitmast.admission.turns import AGING_THRESHOLD_S
 from godwitmast.types import ClassName, TeamName
 
 
 @dataclass(slots=True)
 class PoolQueues:
-    """The class queues of one pool, the highest tier first.
+    """Class queues of one pool, sorted by tier, the highest first.
 
-    Its methods look at each class, never at each team or request: there are as many
-    classes as operators write down.
+    Methods iterate over classes, of which there are as many as the configuration lists,
+    and never over teams or requests.
     """
 
     classes: dict[ClassName, ClassQueue] = field(default_factory=dict)
@@ -24,14 +24,14 @@
         self.sort()
 
     def sort(self) -> None:
-        """Put the classes in order again after their tiers changed."""
+        """Sort the classes again after their tiers changed."""
         self.by_tier = sorted(self.classes.values(), key=lambda q: (q.tier, q.name))
 
     def mean_hold_s(self) -> float | None:
-        """Return how long requests hold a place, over what runs.
+        """Return the mean service time in seconds, weighted by running requests.
 
-        It is None if nothing that was timed runs now: that says nothing of the places
-        that there are.
+        None if no class with a known service time has a request running: without one,
+        the number of places is unknown.
         """
         known = [q for q in self.by_tier if q.hold_s and q.running]
         if not known:
@@ -40,45 +40,50 @@
         return sum(q.running * (q.hold_s or 0.0) for q in known) / places
 
     def class_rate(self, queue: ClassQueue, now: float) -> float | None:
-        """Return how many requests of a class the pool can start in a second.
+        """Return how many requests of a class the pool can start per second.
 
-        That is Little's law over the places that the class can have: all but what
-        higher tiers use, and what lower ones hold and may not be interrupted in; of
-        those last, as many as come free. It is never less than the guard gives.
+        This is Little's law over the places available to the class: all places, less
+        those that higher tiers use, less those that lower tiers hold without being
+        preemptible. The latter count at the rate at which they become free. The result
+        is never below the rate that the starvation guard grants.
         """
         mean_s = self.mean_hold_s()
         if mean_s is None:
             return None
         hold_s = queue.hold_s or mean_s
         places = float(sum(q.running for q in self.by_tier))
-        least = max(1 / AGED_S, queue.turn_share * places / hold_s)
-        freed = 0.0
-        guarded = 0.0
+        min_rate = max(1 / AGING_THRESHOLD_S, queue.turn_share * places / hold_s)
+        freed_per_s = 0.0
+        guard_share = 0.0
         for other in self.by_tier:
             other_hold_s = other.hold_s or mean_s
             if other.tier < queue.tier:
-                places -= other.started.read(now) * other_hold_s
+                places -= other.start_rate.read(now) * other_hold_s
             elif other.tier > queue.tier:
                 kept = other.running - len(other.preemptible)
                 places -= kept
-                freed += kept / other_hold_s
-                guarded += other.turn_share if other.waiting else 0.0
-        return max(least, (1 - guarded) * (max(0.0, places) / hold_s + freed))
+                freed_per_s += kept / other_hold_s
+                guard_share += other.turn_share if other.waiting else 0.0
+        return max(
+            min_rate, (1 - guard_share) * (max(0.0, places) / hold_s + freed_per_s)
+        )
 
     def wait_s(
         self, queue: ClassQueue, team: TeamName, weight: float, now: float
     ) -> float:
-        """Return how long a new request of a team would wait in a class.
+        """Return the expected wait in seconds of a new request of a team in a class.
 
-        What may be preempted for it counts as free at once. An unmeasured pool is
-        taken to be free: it fills, and is then measured.
+        Preemptible requests of lower tiers count as free places. A pool without any
+        estimate is assumed to have room: it then fills up, and its times become known.
         """
         rate = self.class_rate(queue, now)
         mean_s = self.mean_hold_s()
         if rate is None or mean_s is None:
             return 0.0
         hold_s = queue.hold_s or mean_s
-        ahead = len(queue.resumed) + queue.fair.requests_before(team, weight)
+        ahead = len(queue.resumed) + queue.fair_queue.estimate_requests_ahead(
+            team, weight
+        )
         for other in self.by_tier:
             if other.tier > queue.tier:
                 ahead -= len(other.preemptible)
--- a/src/godwitmast/admission/preemption.py
+++ b/src/godwitmast/admission/preemption.py
@@ -1,23 +1,25 @@
-"""Who is interrupted so that a higher tier meets its target.
-
-The load is quick questions that arrive while long drafts hold every place. Places come
-free only as fast as drafts end, so that questions wait for tens of seconds and miss a
-target of one, although the work that holds them up has minutes to spare. The draft
-that began to answer last is cancelled and goes on later from its last token; what is
-lost is the reading of its prompt again. A draft without a token yet may still wait
-inside its engine: to cancel it would free no place in the batch.
-
-Only a request whose wait is about to end in a refusal interrupts another, and only one
-of a lower tier. Without a bound, one draft could be interrupted by every question of an
-evening and read its prompt a hundred times without an end.
-
-Entries share servers and do not see each other's queues. One whose places have all gone
-to lower tiers of the others has nobody to interrupt; its urgent request goes to a full
-server then, as engines serve the highest priority first. Where places come free soon,
-requests that engines put before all others go there at once. Others go only to engines
-with a fixed number of places, where they take one of a less urgent request or wait; an
-engine without would run them beside the rest and slow all of them. What engines put last
-stays: it could only wait there.
+"""Preemption of running requests, so that a higher tier meets its target.
+
+It answers quick questions that arrive while long drafts occupy every place. Places
+become free only as fast as drafts end, so that questions wait for tens of seconds and
+miss a target of one second, although the drafts have minutes to spare. The draft that
+sent its first token last is cancelled and later resumed after its last token; the cost
+is a second prefill of its prompt. A draft without a token yet may still wait inside its
+engine, where cancelling it would free no place in the batch.
+
+Only a request that would otherwise soon be refused may interrupt another, and only one
+of a lower tier. The number of preemptions per request is bounded: otherwise one draft
+could be interrupted by every question of an evening, with a hundred prefills and no
+result.
+
+Entries share servers without seeing each other's queues. An entry may have no victim
+because all places are held by lower tiers of other entries. It then sends its urgent
+request to a full server, because engines run the highest priority first. If places
+become free soon, requests that engines run first go to a full server right away. Other
+requests go only to engines with a fixed number of places, where they displace a less
+urgent request or wait; an engine without that bound would run them beside the rest and
+slow all of them. Requests that engines run last stay queued at the entry: in a full
+engine they could only wait.
 """
 
 from typing import NamedTuple
@@ -28,31 +30,32 @@
 from godwitmast.types import RequestId
 
 MAX_PREEMPTIONS = 2
-"""How often one request is interrupted at most. Each time costs one more reading of its
-prompt and answer so far; after the second it runs to its end."""
+"""How often one request may be preempted. Each preemption costs another prefill of its
+prompt and the answer so far; after the second one the request runs to its end."""
 
 URGENT_SHARE = 0.6
-"""The last part of its wait in which a request may interrupt others. Before it, a place
-may still come free by itself."""
+"""The last part of its wait in which a request may interrupt others. Before that, a
+place may still become free without a preemption."""
 
 MIN_URGENT_S = 0.15
-"""Three ticks of the entry, so that the last moment cannot fall between two of them."""
+"""Three ticks of the entry, so that at least one tick falls before the latest start."""
 
 MAX_URGENT_S = 0.5
-"""A place of a busy pool comes free within this, so that a request with a minute to
-spare need not interrupt anyone seconds before its time."""
+"""A place of a busy pool becomes free within this time, so that a request with a wait
+of a minute does not interrupt others seconds before its latest start."""
 
-SOON_HOLD_S = 6.0
-"""Where requests hold their places no longer than this, a full engine of eight frees one
-each 0.8 s. One that engines put first does best to wait there from the start, before
-the lower tiers of all entries: it interrupts fewer, whose prompts are read again."""
+SHORT_HOLD_S = 6.0
+"""If the mean service time is at most this, a full engine of eight frees a place every
+0.8 s. A request that engines run first then does best to wait in the engine from the
+start, ahead of the lower tiers of all entries: fewer requests are preempted and
+prefilled again."""
 
 
 class Preemption(NamedTuple):
-    """`victim` gives its place to `request`; it waits already, to be resumed.
+    """A request to start, and the running request that is cancelled for it.
 
-    Without a victim here, `request` is to go to a full server, where its priority
-    brings it before the lower tiers of other entries.
+    The victim is already queued again. Without a victim, `request` goes to a full
+    server, where its priority puts it ahead of lower tiers of other entries.
     """
 
     victim: RequestSpec | None
@@ -60,21 +63,23 @@
 
 
 def urgent_at(arrived: float, latest_start: float) -> float:
-    """Return from when on a request may interrupt others."""
+    """Return the time from which a request may interrupt others."""
     share = URGENT_SHARE * (latest_start - arrived)
     return latest_start - min(MAX_URGENT_S, max(MIN_URGENT_S, share))
 
 
 def most_urgent(queue: ClassQueue) -> RequestId | None:
-    """Return the request of a class that has to start first."""
-    return queue.urgency[0][1] if queue.urgency else None
+    """Return the waiting request of a class with the earliest latest start."""
+    return queue.by_latest_start[0][1] if queue.by_latest_start else None
 
 
 def find_victim(pool: PoolQueues, urgent: ClassQueue) -> Job | None:
-    """Return who gives way to a class: the lowest tier first, then the last begun.
+    """Return the request to preempt for a class, from the lowest tier that has one.
 
-    The last begun has the least to read again, and the most still to do. What engines
-    put before that class is spared: sent on, it would take a place back there.
+    Of that tier's requests it is the one that sent its first token last: it has the
+    least to prefill again and the most still to generate. Requests that engines run
+    before that class are spared: once resumed, they would displace that class in an
+    engine again.
     """
     for queue in reversed(pool.by_tier):
         if queue.tier <= urgent.tier:
@@ -85,18 +90,18 @@
     return None
 
 
-def frees_soon(pool: PoolQueues) -> bool:
-    """Return whether a full server of the pool frees a place within a moment."""
+def frees_place_soon(pool: PoolQueues) -> bool:
+    """Return whether a full server of the pool soon frees a place."""
     hold_s = pool.mean_hold_s()
-    return hold_s is not None and hold_s <= SOON_HOLD_S
+    return hold_s is not None and hold_s <= SHORT_HOLD_S
 
 
 def may_be_preempted(job: Job) -> bool:
-    """Return whether a running request may be interrupted at all.
+    """Return whether a running request may be preempted at all.
 
-    One that may not be repeated runs once; one whose answer comes in one piece would
-    start from nothing, and its work so far would be wasted. One that the guard against
-    starvation started keeps its place.
+    A request that is not idempotent must run only once. One that is not resumable,
+    because its answer is sent in one piece, would start over and waste its work so far.
+    One started by the starvation guard keeps its place.
     """
     request = job.request
     return (
--- a/src/godwitmast/admission/queue.py
+++ b/src/godwitmast/admission/queue.py
@@ -1,7 +1,8 @@
-"""Admission: who is let in, who waits, who is turned away and who gives way.
+"""Admission control of one entry: queues, starts, preempts and refuses requests.
 
-This joins the decisions of the modules beside it. No step looks at all teams or at all
-requests: each costs the number of classes, and the logarithm of what waits.
+It combines the rules of the other modules of this package. No operation iterates over
+all teams or all requests: each costs O(classes) plus the logarithm of the number of
+waiting requests.
 """
 
 import random
@@ -9,7 +10,11 @@
 from typing import NamedTuple
 
 from godwitmast.admission.class_queue import ClassQueue, Job
-from godwitmast.admission.deadlines import RESUMED_WAIT_S, Slack, find_slack
+from godwitmast.admission.deadlines import (
+    RESUMED_WAIT_S,
+    StartDeadline,
+    find_start_deadline,
+)
 from godwitmast.admission.fairness import PROMPT_WEIGHT
 from godwitmast.admission.lengths import AnswerLengths
 from godwitmast.admission.limits import TeamLimits
@@ -17,46 +22,47 @@
 from godwitmast.admission.preemption import (
     Preemption,
     find_victim,
-    frees_soon,
+    frees_place_soon,
     may_be_preempted,
     most_urgent,
     urgent_at,
 )
-from godwitmast.admission.returns import MIN_RETRY_S, next_return
+from godwitmast.admission.returns import MIN_RETRY_AFTER_S, next_retry_after
 from godwitmast.admission.service import ServiceCounter, ServiceKey, ServiceReport
-from godwitmast.admission.shedding import MAX_WAITING, find_shed
+from godwitmast.admission.shedding import MAX_WAITING, choose_request_to_shed
 from godwitmast.admission.turns import choose_class
 from godwitmast.config.document import Document, Team
 from godwitmast.dispatch.messages import NotRun, RefusalCode, Refuse, RequestSpec
 from godwitmast.types import ClassName, PoolName, RequestId, TeamName
 
-SETTLE_TOKENS = 64
-"""Tokens past its estimate after which a running answer is charged for more. At one
-token each, a stream would move its team in the order 30 times a second."""
+SETTLE_THRESHOLD_TOKENS = 64
+"""A running answer is charged again once it exceeds its charge by this many tokens.
+Charged token by token, a stream would move its team in the sorted order 30 times a
+second."""
 
-UNMEASURED_RATE = 1.0
-"""Requests a second that a pool is taken to start before any answer was timed."""
+DEFAULT_START_RATE_PER_S = 1.0
+"""Assumed start rate of a pool that has not completed an answer yet."""
 
 
-class EngineOrders(NamedTuple):
-    """The most and the least urgent number that engines order requests by."""
+class EngineOrderRange(NamedTuple):
+    """Values of `order_in_engines` of the most and the least urgent classes."""
 
     first: int
     last: int
 
 
-NO_TEAM = Team()
-"""For requests that outlive their team's entry in the configuration."""
+DEFAULT_TEAM = Team()
+"""For requests whose team was removed from the configuration while they were open."""
 
 
 class Admission:
-    """What waits, and in which order it goes."""
+    """Requests of this entry that wait or run, and the order in which they start."""
 
     def __init__(
         self, document: Document, seed: int = 0, max_waiting: int = MAX_WAITING
     ) -> None:
         self.document = document
-        self.engine_orders = find_engine_orders(document)
+        self.engine_order_range = find_engine_order_range(document)
         self.max_waiting = max_waiting
         self.random = random.Random(seed)
         self.jobs: dict[RequestId, Job] = {}
@@ -67,95 +73,113 @@
         self.waiting = 0
 
     def update_config(self, document: Document) -> None:
-        """Take a configuration; what waits keeps its place and its deadline."""
+        """Apply a new configuration; waiting requests keep position and deadline."""
         self.document = document
-        self.engine_orders = find_engine_orders(document)
+        self.engine_order_range = find_engine_order_range(document)
         for pool in self.pools.values():
             for queue in pool.by_tier:
                 queue.target = document.classes.get(queue.name, queue.target)
             pool.sort()
 
     def offer(self, request: RequestSpec, now: float) -> list[Refuse]:
-        """Let the request in, or not; return who is refused.
+        """Queue the request, or refuse it; return the refusals that follow.
 
-        That is the request itself, or requests that waited and give way to it, which
-        are forgotten here. An empty list means that it waits.
+        The refused requests are either the new one or waiting ones that were shed for
+        it. They are removed from the queues here. An empty list means that the request
+        was queued.
         """
-        team = self.team(request.team)
-        queue = self.queue(request)
-        wait = self.limits.wait(request.team, team, queue.times.hold.value, now)
-        if wait > 0:
-            after = self.limits.next_return(request.team, team, wait, now)
-            return [refuse(request, RefusalCode.TEAM_LIMIT, after)]
+        team = self.team_config(request.team)
+        queue = self.queue_for(request)
+        wait_s = self.limits.wait_s(
+            request.team, team, queue.service_times.hold.value, now
+        )
+        if wait_s > 0:
+            retry_after_s = self.limits.next_retry_after(
+                request.team, team, wait_s, now
+            )
+            return [build_refusal(request, RefusalCode.TEAM_LIMIT, retry_after_s)]
         job = self.make_job(request, queue, now)
-        late_s = self.lateness(job, queue, now)
+        late_s = self.lateness_s(job, queue, now)
         if late_s > 0:
-            return [self.give_up(job, queue, late_s, now)]
+            return [self.make_refusal(job, queue, late_s, now)]
         self.jobs[request.request_id] = job
-        self.limits.opened(request.team, team, now)
+        self.limits.record_admitted(request.team, team, now)
         key = ServiceKey(request.team, request.class_name, request.pool)
         self.served.add(key, 1, 0.0)
         queue.add(job, team.weight, now)
-        self.count_waiting(queue, 1)
+        self.adjust_waiting(queue, 1)
         return self.shed(now)
 
     def make_job(self, request: RequestSpec, queue: ClassQueue, now: float) -> Job:
-        tokens = self.lengths.guess(
+        tokens = self.lengths.estimate_tokens(
             request.team, request.class_name, request.max_tokens
         )
-        slack = find_slack(request, queue.target, queue.times, tokens, now)
-        charged = tokens + PROMPT_WEIGHT * request.prompt_tokens
-        return Job(request, slack, charged, urgent_at(now, slack.latest_start))
+        start_deadline = find_start_deadline(
+            request, queue.target, queue.service_times, tokens, now
+        )
+        charged_tokens = tokens + PROMPT_WEIGHT * request.prompt_tokens
+        return Job(
+            request,
+            start_deadline,
+            charged_tokens,
+            urgent_at(now, start_deadline.latest_start),
+        )
 
-    def lateness(self, job: Job, queue: ClassQueue, now: float) -> float:
-        """Return by how much a new request would start too late; 0 if it would not."""
+    def lateness_s(self, job: Job, queue: ClassQueue, now: float) -> float:
+        """Return how many seconds too late a new request would start; 0 if in time."""
         request = job.request
         if request.deadline is not None and request.deadline <= now:
-            return MIN_RETRY_S
-        weight = self.team(request.team).weight
+            return MIN_RETRY_AFTER_S
+        weight = self.team_config(request.team).weight
         wait_s = self.pools[request.pool].wait_s(queue, request.team, weight, now)
         if wait_s <= 0:
             return 0.0
-        return max(0.0, now + wait_s - job.slack.latest_start)
+        return max(0.0, now + wait_s - job.start_deadline.latest_start)
 
     def shed(self, now: float) -> list[Refuse]:
-        """Refuse what no longer fits, after a request was queued."""
+        """Refuse one waiting request if the queues exceed `max_waiting`."""
         if self.waiting <= self.max_waiting:
             return []
         queues = (q for pool in self.pools.values() for q in pool.by_tier)
-        queue, request_id = find_shed(queues)
-        return [self.turn_away(self.jobs[request_id], now)]
+        queue, request_id = choose_request_to_shed(queues)
+        return [self.refuse_waiting(self.jobs[request_id], now)]
 
     def expire(self, now: float) -> list[Refuse]:
-        """Refuse what waits and has become too late to start."""
+        """Refuse waiting requests that are past their latest start."""
         refusals = []
         for pool in self.pools.values():
             for queue in pool.by_tier:
-                while queue.urgency and queue.urgency[0][0] <= now:
-                    job = self.jobs[queue.urgency[0][1]]
-                    refusals.append(self.turn_away(job, now))
+                while queue.by_latest_start and queue.by_latest_start[0][0] <= now:
+                    job = self.jobs[queue.by_latest_start[0][1]]
+                    refusals.append(self.refuse_waiting(job, now))
         return refusals
 
-    def turn_away(self, job: Job, now: float) -> Refuse:
-        """Forget a waiting request and return its refusal."""
-        queue = self.queue(job.request)
+    def refuse_waiting(self, job: Job, now: float) -> Refuse:
+        """Remove a waiting request and return its refusal."""
+        queue = self.queue_for(job.request)
         self.remove(job.request)
         self.ended(job.request, now, whole=False)
-        return self.give_up(job, queue, 0.0, now)
+        return self.make_refusal(job, queue, 0.0, now)
 
-    def give_up(self, job: Job, queue: ClassQueue, late_s: float, now: float) -> Refuse:
+    def make_refusal(
+        self, job: Job, queue: ClassQueue, late_s: float, now: float
+    ) -> Refuse:
         """Return the refusal of a request that will not be run."""
         request = job.request
-        code = RefusalCode.DEADLINE if job.slack.own_deadline else RefusalCode.SHED
-        weight = self.team(request.team).weight
-        team = queue.fair.team(request.team, weight)
-        rate = self.pools[request.pool].class_rate(queue, now) or UNMEASURED_RATE
-        share = weight / max(weight, queue.fair.active_weight)
-        after = next_return(team, rate * share, late_s, now, self.random)
-        return refuse(request, code, after)
+        code = (
+            RefusalCode.DEADLINE if job.start_deadline.by_caller else RefusalCode.SHED
+        )
+        weight = self.team_config(request.team).weight
+        team = queue.fair_queue.team(request.team, weight)
+        rate = (
+            self.pools[request.pool].class_rate(queue, now) or DEFAULT_START_RATE_PER_S
+        )
+        share = weight / max(weight, queue.fair_queue.active_weight)
+        retry_after_s = next_retry_after(team, rate * share, late_s, now, self.random)
+        return build_refusal(request, code, retry_after_s)
 
     def next(self, pool_name: str, now: float) -> RequestSpec | None:
-        """Take the request of a pool that goes next."""
+        """Remove and return the request of a pool that starts next."""
         pool = self.pools.get(pool_name)
         if pool is None or not pool.waiting:
             return None
@@ -165,10 +189,10 @@
         return self.start_next(queue, now)
 
     def start_next(self, queue: ClassQueue, now: float) -> RequestSpec:
-        """Take out the request of a class whose team's turn it is."""
+        """Remove and return a class's next request, in the order of fair shares."""
         job = self.jobs[queue.peek()]
         if not queue.resumed:
-            queue.fair.advance()
+            queue.fair_queue.advance_virtual_time()
         return self.start(job, queue, now)
 
     def preempt(
@@ -178,13 +202,15 @@
         may_overcommit: bool = False,
         excess_waits: bool = False,
     ) -> Preemption | None:
-        """Take a request that is about to be too late, and who gives way to it.
-
-        The one that gives way waits again, before those of its class that never ran.
-        Where the caller has a server that takes one more than its limit, a request that
-        engines put first comes alone if places come free soon, or if nobody can give way.
-        With `excess_waits` that server has a fixed number of places, so that one more
-        does not slow what runs there: then any but those that engines put last does.
+        """Return a request that is about to miss its latest start, and its victim.
+
+        The victim is queued again, ahead of the requests of its class that never ran.
+        With `may_overcommit` the caller has a server that takes one request above its
+        limit. A request that engines run first is then returned without a victim, if
+        places become free soon or if there is no victim. With `excess_waits` that
+        server has a fixed number of places, so that one more request does not slow
+        those that run there; any request but those that engines run last may then go
+        without a victim.
         """
         pool = self.pools.get(pool_name)
         if pool is None or not pool.waiting:
@@ -194,9 +220,9 @@
             if request_id is None:
                 continue
             job = self.jobs[request_id]
-            is_first = queue.order_in_engines <= self.engine_orders.first
-            is_last = queue.order_in_engines >= self.engine_orders.last
-            if may_overcommit and is_first and frees_soon(pool):
+            is_first = queue.order_in_engines <= self.engine_order_range.first
+            is_last = queue.order_in_engines >= self.engine_order_range.last
+            if may_overcommit and is_first and frees_place_soon(pool):
                 return Preemption(None, self.start_next(queue, now))
             if job.urgent_at > now:
                 continue
@@ -211,93 +237,93 @@
         return None
 
     def start(self, job: Job, queue: ClassQueue, now: float) -> RequestSpec:
-        """Take a waiting request out to be run."""
+        """Remove a waiting request from its queue and count it as running."""
         request = job.request
         self.remove(request)
         if not job.is_charged:
             job.is_charged = True
-            self.charge(job, queue, job.charged, now)
+            self.charge(job, queue, job.charged_tokens, now)
         job.starts += 1
         job.started_at = now
         job.first_token_at = None
         queue.running += 1
-        queue.started.add(now)
+        queue.start_rate.add(now)
         return request
 
     def unplaced(self, request: RequestSpec) -> None:
-        """Note that no server took a request that was to be started.
+        """Count a request that no server accepted as not started.
 
-        It comes back by `put_back`, as one that did not run.
+        The caller queues it again by `put_back`, as a request that did not run.
         """
         job = self.jobs[request.request_id]
         job.starts -= 1
-        self.stop(job, self.queue(request))
+        self.mark_stopped(job, self.queue_for(request))
 
     def put_back(self, request: RequestSpec, now: float) -> None:
         """Queue a request again whose attempt was cancelled or failed.
 
-        It goes before those of its class that never ran. One that never ran either
-        keeps the last moment for its start.
+        It goes ahead of the requests of its class that never ran. If it never ran
+        either, it keeps its latest start.
         """
         job = self.jobs[request.request_id]
-        queue = self.queue(request)
-        self.stop(job, queue)
+        queue = self.queue_for(request)
+        self.mark_stopped(job, queue)
         if job.has_run and request.deadline is not None:
-            job.slack = Slack(request.deadline, own_deadline=True)
+            job.start_deadline = StartDeadline(request.deadline, by_caller=True)
         elif job.has_run:
-            job.slack = Slack(now + RESUMED_WAIT_S)
-        job.urgent_at = urgent_at(now, job.slack.latest_start)
+            job.start_deadline = StartDeadline(now + RESUMED_WAIT_S)
+        job.urgent_at = urgent_at(now, job.start_deadline.latest_start)
         queue.add_resumed(job, now)
-        self.count_waiting(queue, 1)
+        self.adjust_waiting(queue, 1)
 
     def hold(self, request: RequestSpec) -> None:
-        """Count out a request that runs no more and waits outside for its retry.
+        """Count a request as not running while its caller delays the retry.
 
-        It must not be chosen to give way to another: it has no place to give.
+        It must not be chosen as a victim meanwhile, because it occupies no place.
         """
-        self.stop(self.jobs[request.request_id], self.queue(request))
+        self.mark_stopped(self.jobs[request.request_id], self.queue_for(request))
 
     def remove(self, request: RequestSpec) -> None:
-        """Take a request out of those that wait."""
-        queue = self.queue(request)
+        """Remove a waiting request from its queue."""
+        queue = self.queue_for(request)
         queue.remove(self.jobs[request.request_id])
-        self.count_waiting(queue, -1)
+        self.adjust_waiting(queue, -1)
 
     def tokens_came(
         self, request: RequestSpec, count: int, now: float, may_move: bool = True
     ) -> None:
         """Count tokens of a running answer.
 
-        `may_move` tells whether the request may run on another server after this one:
-        what may not keeps its place, as it could never be resumed.
+        `may_move` says whether the request may continue on another server. A request
+        that may not is never preempted, as it could not be resumed.
         """
         job = self.jobs[request.request_id]
-        queue = self.queue(request)
+        queue = self.queue_for(request)
         if job.first_token_at is None and job.started_at is not None:
             job.first_token_at = now
-            queue.times.first_token.add(now - job.started_at)
+            queue.service_times.first_token.add(now - job.started_at)
             is_model = request.pool in self.document.models
             if may_move and is_model and may_be_preempted(job):
                 queue.preemptible[request.request_id] = job
         job.tokens += count
-        over = self.used(job) - job.charged
-        if over >= SETTLE_TOKENS:
-            self.charge(job, queue, over, now)
-            job.charged += over
+        excess_tokens = self.used_tokens(job) - job.charged_tokens
+        if excess_tokens >= SETTLE_THRESHOLD_TOKENS:
+            self.charge(job, queue, excess_tokens, now)
+            job.charged_tokens += excess_tokens
 
     def ended(self, request: RequestSpec, now: float, whole: bool) -> None:
-        """Forget a request that is not waiting; `whole` if its answer was."""
+        """Remove a request that is not waiting; `whole` if its answer was completed."""
         job = self.jobs.pop(request.request_id)
-        queue = self.queue(request)
-        self.limits.closed(request.team)
+        queue = self.queue_for(request)
+        self.limits.record_ended(request.team)
         if whole:
-            self.learn(job, queue, now)
-        self.stop(job, queue)
+            self.update_estimates(job, queue, now)
+        self.mark_stopped(job, queue)
         if job.is_charged:
-            self.charge(job, queue, self.used(job) - job.charged, now)
+            self.charge(job, queue, self.used_tokens(job) - job.charged_tokens, now)
 
-    def learn(self, job: Job, queue: ClassQueue, now: float) -> None:
-        """Take the times and the length of a whole answer into the estimates."""
+    def update_estimates(self, job: Job, queue: ClassQueue, now: float) -> None:
+        """Add the times and the length of a completed answer to the estimates."""
         request = job.request
         self.lengths.add(request.team, request.class_name, job.tokens)
         if job.starts > 1 or job.started_at is None:
@@ -305,10 +331,12 @@
         first_token_s = None
         if job.first_token_at is not None:
             first_token_s = job.first_token_at - job.started_at
-        queue.times.finished(now - job.started_at, first_token_s, job.tokens)
+        queue.service_times.record_answer(
+            now - job.started_at, first_token_s, job.tokens
+        )
 
-    def stop(self, job: Job, queue: ClassQueue) -> None:
-        """Count out a request that ran."""
+    def mark_stopped(self, job: Job, queue: ClassQueue) -> None:
+        """Count a request as no longer running."""
         if job.started_at is None:
             return
         job.started_at = None
@@ -316,43 +344,46 @@
         queue.preemptible.pop(job.request.request_id, None)
 
     def charge(self, job: Job, queue: ClassQueue, tokens: float, now: float) -> None:
-        """Count tokens for the request's team: its share, its limit, and peers'."""
+        """Charge tokens to the team's fair share and limit, and report them to other
+        entries."""
         request = job.request
-        queue.fair.charge(request.team, tokens)
-        self.limits.use_tokens(request.team, self.team(request.team), tokens, now)
+        queue.fair_queue.charge(request.team, tokens)
+        self.limits.charge_tokens(
+            request.team, self.team_config(request.team), tokens, now
+        )
         key = ServiceKey(request.team, request.class_name, request.pool)
         self.served.add(key, 0, tokens)
 
-    def used(self, job: Job) -> float:
-        """Return what a request has used so far, in tokens."""
+    def used_tokens(self, job: Job) -> float:
+        """Return the tokens that a request has used so far, prompt included."""
         return job.tokens + PROMPT_WEIGHT * job.request.prompt_tokens
 
     def take_service(self) -> list[ServiceReport]:
-        """Return what was served here since the last call, for the other entries."""
+        """Return and reset what this entry served since the last call."""
         return self.served.take()
 
     def peer_service(self, report: ServiceReport, now: float) -> None:
-        """Count what another entry served, in shares and in limits."""
+        """Charge what another entry served to the team's fair share and limits."""
         key = report.key
         if key.class_name not in self.document.classes:
             return
-        team = self.team(key.team)
+        team = self.team_config(key.team)
         queue = self.find_queue(key.pool, key.class_name)
-        queue.fair.charge_elsewhere(key.team, report.tokens, team.weight)
-        self.limits.use_requests(key.team, team, report.requests, now)
-        self.limits.use_tokens(key.team, team, report.tokens, now)
+        queue.fair_queue.charge_remote(key.team, report.tokens, team.weight)
+        self.limits.charge_requests(key.team, team, report.requests, now)
+        self.limits.charge_tokens(key.team, team, report.tokens, now)
 
     def waiting_pools(self) -> Iterable[str]:
         return [name for name, pool in self.pools.items() if pool.waiting]
 
-    def team(self, name: TeamName) -> Team:
-        return self.document.teams.get(name, NO_TEAM)
+    def team_config(self, name: TeamName) -> Team:
+        return self.document.teams.get(name, DEFAULT_TEAM)
 
-    def queue(self, request: RequestSpec) -> ClassQueue:
+    def queue_for(self, request: RequestSpec) -> ClassQueue:
         return self.find_queue(request.pool, request.class_name)
 
     def find_queue(self, pool_name: PoolName, class_name: ClassName) -> ClassQueue:
-        """Return the queue of a class on a pool, made when first asked for."""
+        """Return the queue of a class on a pool; create it on first use."""
         pool = self.pools.get(pool_name)
         if pool is None:
             pool = self.pools[pool_name] = PoolQueues()
@@ -363,17 +394,22 @@
             pool.add_class(queue)
         return queue
 
-    def count_waiting(self, queue: ClassQueue, change: int) -> None:
+    def adjust_waiting(self, queue: ClassQueue, change: int) -> None:
         self.pools[queue.pool].waiting += change
         self.waiting += change
 
 
-def find_engine_orders(document: Document) -> EngineOrders:
-    """Return the first and the last of what engines order the classes' requests by."""
+def find_engine_order_range(document: Document) -> EngineOrderRange:
+    """Return the smallest and the largest `order_in_engines` of all classes."""
     orders = [item.order_in_engines for item in document.classes.values()]
-    return EngineOrders(min(orders, default=1), max(orders, default=1))
+    return EngineOrderRange(min(orders, default=1), max(orders, default=1))
+
 
+def build_refusal(
+    request: RequestSpec, code: RefusalCode, retry_after_s: float
+) -> Refuse:
+    """Return a refusal marked as not run.
 
-def refuse(request: RequestSpec, code: RefusalCode, after_s: float) -> Refuse:
-    """Return a refusal; who turns away what ran before corrects `not_run`."""
-    return Refuse(request.request_id, code, NotRun.TRUE, after_s)
+    The caller corrects `not_run` if an earlier attempt of the request may have run.
+    """
+    return Refuse(request.request_id, code, NotRun.TRUE, retry_after_s)
--- a/src/godwitmast/admission/service.py
+++ b/src/godwitmast/admission/service.py
@@ -1,10 +1,10 @@
-"""What teams were served here, for the other entries, and there, for this one.
+"""Requests and tokens served per team, exchanged between the entries.
 
-Each entry admits by itself and sees only its own queues. A team whose callers all
-reach one entry, and a team spread over nine, would then get unequal shares, and each
-entry would grant the whole of a team's limit. Entries tell each other, every few
-seconds, how many requests and tokens of each team they served since; each counts the
-others' as if it had served them.
+Each entry admits requests by its own queues only. Without an exchange, a team whose
+callers all reach one entry would get a different share than one spread over nine
+entries, and each entry would grant a team's full limit. Every few seconds entries
+report how many requests and tokens of each team they served since, and each charges the
+others' reports as if it had served them itself.
 """
 
 from typing import NamedTuple
@@ -13,7 +13,7 @@
 
 
 class ServiceKey(NamedTuple):
-    """Whose service is counted."""
+    """Team, class and pool that service is counted by."""
 
     team: TeamName
     class_name: ClassName
@@ -21,7 +21,7 @@
 
 
 class ServiceReport(NamedTuple):
-    """What one entry served of a key since its last report."""
+    """Requests and tokens that one entry served for a key since its last report."""
 
     key: ServiceKey
     requests: int
@@ -29,7 +29,7 @@
 
 
 class ServiceCounter:
-    """What was served here since the last report."""
+    """Service by this entry since the last report."""
 
     def __init__(self) -> None:
         self.served: dict[ServiceKey, tuple[int, float]] = {}
@@ -39,7 +39,7 @@
         self.served[key] = (old_requests + requests, old_tokens + tokens)
 
     def take(self) -> list[ServiceReport]:
-        """Return and forget what was counted."""
+        """Return the counts as reports, and reset them."""
         reports = [
             ServiceReport(key, requests, tokens)
             for key, (requests, tokens) in self.served.items()
--- a/src/godwitmast/admission/shedding.py
+++ b/src/godwitmast/admission/shedding.py
@@ -1,12 +1,13 @@
-"""Which waiting request is let go when the queue is full.
+"""Load shedding: which waiting request is refused when the queue is full.
 
-The load is a flood that outgrows memory: targets bound most queues, but a class with
-a target of minutes lets thousands wait. If the newest is turned away, whoever fills
-the queue first keeps everyone else out, and a flood of drafts turns questions away.
-Here the lowest tier gives way, and in it the team with the longest queue for its
-weight: longest queue drop (Suter et al., "Buffer Management Schemes for Supporting TCP
-in Gigabit Routers with Per-flow Queueing", 1999), which leaves a team that keeps to
-its share alone. Of that team the newest goes: it has waited least.
+It bounds memory in a flood. Targets bound most queues, but a class with a target of
+minutes can have thousands of requests waiting. If the newest request were refused,
+whoever filled the queue first would keep all others out, and a flood of drafts would
+cause questions to be refused. So the lowest tier is shed first, and in it the team with
+the most waiting requests per weight: longest queue drop (Suter et al., "Buffer
+Management Schemes for Supporting TCP in Gigabit Routers with Per-flow Queueing", 1999),
+which does not affect a team within its share. That team's newest request is refused, as
+it has waited least.
 """
 
 from collections.abc import Iterable
@@ -15,21 +16,26 @@
 from godwitmast.types import RequestId
 
 MAX_WAITING = 10_000
-"""Requests that one entry keeps waiting: at 1 KB of state and a body of some 10 KB each
-about 100 MB, and at 3,000 requests a second over 350 entries, minutes of arrivals."""
+"""Maximum number of waiting requests of one entry: with 1 KB of state and a body of
+some 10 KB each about 100 MB, and minutes of arrivals at 3,000 requests a second over
+350 entries."""
 
 
-def find_shed(queues: Iterable[ClassQueue]) -> tuple[ClassQueue, RequestId]:
-    """Return the waiting request that goes first, and its queue.
+def choose_request_to_shed(
+    queues: Iterable[ClassQueue],
+) -> tuple[ClassQueue, RequestId]:
+    """Return the queue and the id of the waiting request to refuse.
 
-    Within its tier, a request that ran goes only after all that did not: it has cost
-    work already, and cannot be refused as not run.
+    Within its tier, a request that already ran is chosen only if there is no other:
+    work was spent on it, and it cannot be refused as not run.
     """
     waiting = [queue for queue in queues if queue.waiting]
     lowest = max(queue.tier for queue in waiting)
     tier = [queue for queue in waiting if queue.tier == lowest]
-    unstarted = [queue for queue in tier if queue.fair.size]
+    unstarted = [queue for queue in tier if queue.fair_queue.size]
     if unstarted:
-        worst = max(unstarted, key=lambda queue: queue.fair.furthest_over().backlog)
-        return worst, next(reversed(worst.fair.furthest_over().waiting))
+        worst = max(
+            unstarted, key=lambda queue: queue.fair_queue.find_longest_backlog().backlog
+        )
+        return worst, next(reversed(worst.fair_queue.find_longest_backlog().waiting))
     return tier[0], next(reversed(tier[0].resumed))
--- a/src/godwitmast/admission/turns.py
+++ b/src/godwitmast/admission/turns.py
@@ -1,36 +1,37 @@
-"""Which class of a pool goes next: strict by tier, but for a guard against starvation.
-
-The load is a burst of a high tier that outlasts every lower tier's patience: an evening
-of taproom questions over a long draft. By strict priority the draft never starts. Here
-each class that waits earns its `turn_share` of a turn with each dispatch, and goes next
-once it has earned a whole one, so that the higher tiers lose that share of the turns
-and no more. A class that got no turn for AGED_S goes next as well: on a pool that
-starts a request every few seconds, a fiftieth of the turns comes too late.
-
-The guard only orders what waits. It sheds nothing and preempts nothing. What it starts
-is not preempted either, or the turn would be taken back as soon as it was given.
+"""Choice of a pool's next class: strict priority by tier, with a starvation guard.
+
+The guard answers a burst of a high tier that outlasts the targets of every lower one,
+such as an evening of questions while a long draft waits: under strict priority the
+draft never starts. Each waiting class earns `turn_share` of a turn with each dispatch,
+and starts a request once it has a whole turn, so that the higher tiers lose that share
+of the turns and no more. A class without a turn for AGING_THRESHOLD_S goes next as
+well: on a pool that starts a request every few seconds, a fiftieth of the turns is too
+seldom.
+
+The guard only orders waiting requests; it neither sheds nor preempts. A request that it
+started is not preempted either, because that would undo the turn at once.
 """
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 from typing import Generic, NamedTuple, Protocol, TypeVar
 
-AGED_S = 20.0
-"""Seconds without a turn after which a class goes next. No class may be at zero in any
-60 s, and its request has to be served within them too: a third for the wait, the rest
-for the answer."""
+AGING_THRESHOLD_S = 20.0
+"""Seconds without a turn after which a class goes next. No class may be without an
+answer in any 60 s, and that includes serving its request: a third is for the wait, the
+rest for the answer."""
 
 
 @dataclass(slots=True)
-class Turns:
-    """What a class has earned, and when it last got a turn."""
+class TurnCredit:
+    """A class's earned share of a turn, and the time of its last turn."""
 
     credit: float = 0.0
-    last: float = 0.0
+    last_turn_at: float = 0.0
 
 
-class Waiting(Protocol):
-    """A class with work waiting, as the guard sees it."""
+class WaitingClass(Protocol):
+    """A class with requests waiting, as the starvation guard sees it."""
 
     @property
     def tier(self) -> int: ...
@@ -42,14 +43,14 @@
     def hold_s(self) -> float | None: ...
 
     @property
-    def turns(self) -> Turns: ...
+    def turns(self) -> TurnCredit: ...
 
 
-W = TypeVar("W", bound=Waiting)
+W = TypeVar("W", bound=WaitingClass)
 
 
 class Turn(NamedTuple, Generic[W]):
-    """The class that goes next; `guarded` if before a higher tier that waits."""
+    """The class that goes next; `guarded` if ahead of a higher tier that waits."""
 
     queue: W
     guarded: bool
@@ -58,44 +59,48 @@
 def choose_class(waiting: Iterable[W], now: float) -> Turn[W]:
     """Return the class that goes next, and count the turn.
 
-    Among classes of the highest tier the one that waited longest for a turn goes, so
-    that none of them needs the guard.
+    Within the highest tier, the class with the longest time since its last turn goes,
+    so that none of them depends on the guard.
     """
     queues = list(waiting)
-    best = min(queues, key=lambda queue: (queue.tier, queue.turns.last))
+    best = min(queues, key=lambda queue: (queue.tier, queue.turns.last_turn_at))
     for queue in queues:
         queue.turns.credit += queue.turn_share
-    owed = [queue for queue in queues if queue.tier > best.tier and is_owed(queue, now)]
+    owed = [
+        queue for queue in queues if queue.tier > best.tier and is_owed_turn(queue, now)
+    ]
     if owed:
-        lower = min(owed, key=lambda queue: queue.turns.last)
+        lower = min(owed, key=lambda queue: queue.turns.last_turn_at)
         lower.turns.credit -= cost_in_turns(lower, best)
-        lower.turns.last = now
+        lower.turns.last_turn_at = now
         return Turn(lower, True)
     best.turns.credit = min(best.turns.credit, 0.0)
-    best.turns.last = now
+    best.turns.last_turn_at = now
     return Turn(best, False)
 
 
-def is_owed(queue: Waiting, now: float) -> bool:
-    return queue.turns.credit >= 1.0 or now - queue.turns.last >= AGED_S
+def is_owed_turn(queue: WaitingClass, now: float) -> bool:
+    return (
+        queue.turns.credit >= 1.0 or now - queue.turns.last_turn_at >= AGING_THRESHOLD_S
+    )
 
 
-def cost_in_turns(lower: Waiting, higher: Waiting) -> float:
-    """Return how many turns of the higher class a turn of the lower one takes.
+def cost_in_turns(lower: WaitingClass, higher: WaitingClass) -> float:
+    """Return how many turns of the higher class a turn of the lower one costs.
 
-    A draft holds its place as long as ten questions do. Counted as one turn, a tenth
-    of the turns was more than half of the places.
+    A draft occupies its place as long as ten questions. Counted as one turn each, a
+    tenth of the turns would be more than half of the places.
     """
     if not lower.hold_s or not higher.hold_s:
         return 1.0
     return max(1.0, lower.hold_s / higher.hold_s)
 
 
-def began_to_wait(turns: Turns, now: float) -> None:
-    """Note that a class has work waiting again.
+def reset_turns(turns: TurnCredit, now: float) -> None:
+    """Clear earned credit and age of a class that starts to wait again.
 
-    It starts with no credit and no age, so that an idle class cannot save up turns and
-    then hold up the higher tiers in one go.
+    Otherwise an idle class could accumulate turns, and then block the higher tiers for
+    all of them in a row.
     """
     turns.credit = min(turns.credit, 0.0)
-    turns.last = now
+    turns.last_turn_at = now
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -6,7 +6,7 @@
 from godwitmast.admission.limits import BURST_S
 from godwitmast.admission.preemption import MAX_PREEMPTIONS
 from godwitmast.admission.queue import Admission
-from godwitmast.admission.returns import MAX_RETRY_S
+from godwitmast.admission.returns import MAX_RETRY_AFTER_S
 from godwitmast.config.document import Document, RequestClass, Team
 from godwitmast.config.parsing import parse_document
 from godwitmast.dispatch.messages import RefusalCode, RequestSpec
@@ -214,7 +214,7 @@
         times.append(refusal.retry_after_s or 0.0)
     seconds = [int(time) for time in times]
     assert max(seconds.count(second) for second in seconds) <= 10
-    assert max(times) <= MAX_RETRY_S
+    assert max(times) <= MAX_RETRY_AFTER_S
 
 
 def test_question_takes_the_place_of_a_draft_just_before_it_is_too_late(
--- a/tests/test_admission_model.py
+++ b/tests/test_admission_model.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from godwitmast.admission.preemption import MAX_PREEMPTIONS
-from godwitmast.admission.turns import AGED_S, Turns, choose_class
+from godwitmast.admission.turns import AGING_THRESHOLD_S, TurnCredit, choose_class
 from godwitmast.config.parsing import parse_document
 from godwitmast.dispatch.messages import (
     Action,
@@ -118,10 +118,10 @@
         too late it is the lowest that may be preempted, if more may than wait for it.
         """
         admission = self.router.admission
-        queue = admission.queue(request)
+        queue = admission.queue_for(request)
         queues = admission.pools[POOL].by_tier
         job = admission.make_job(request, queue, self.now)
-        if not admission.lateness(job, queue, self.now):
+        if not admission.lateness_s(job, queue, self.now):
             return max([queue.tier, *(q.tier for q in queues if q.waiting)])
         lower = [q for q in queues if q.tier > queue.tier and q.preemptible]
         before = sum(q.waiting for q in queues if q.tier <= queue.tier)
@@ -211,10 +211,12 @@
     assert max(world.preempted.values(), default=0) <= MAX_PREEMPTIONS
     admission = world.router.admission
     assert not admission.jobs and not admission.waiting
-    assert all(use.open_requests == 0 for use in admission.limits.uses.values())
+    assert all(
+        use.open_requests == 0 for use in admission.limits.usage_by_team.values()
+    )
     for queue in admission.pools[POOL].by_tier if admission.pools else []:
-        assert not queue.running and not queue.preemptible and not queue.urgency
-        assert not queue.fair.size and not queue.fair.backlogs
+        assert not queue.running and not queue.preemptible and not queue.by_latest_start
+        assert not queue.fair_queue.size and not queue.fair_queue.by_backlog
 
 
 class FakeClass:
@@ -224,7 +226,7 @@
         self.tier = tier
         self.turn_share = turn_share
         self.hold_s = hold_s
-        self.turns = Turns()
+        self.turns = TurnCredit()
         self.longest_gap = 0.0
 
 
@@ -245,10 +247,10 @@
     for gap in gaps:
         now += gap
         for queue in queues:
-            queue.longest_gap = max(queue.longest_gap, now - queue.turns.last)
+            queue.longest_gap = max(queue.longest_gap, now - queue.turns.last_turn_at)
         choose_class(queues, now)
     # Each of the others may have become owed a turn at the same moment.
-    assert max(q.longest_gap for q in queues) <= AGED_S + 2.0 * len(queues)
+    assert max(q.longest_gap for q in queues) <= AGING_THRESHOLD_S + 2.0 * len(queues)
 
 
 @settings(max_examples=60, derandomize=True, deadline=None)
