--- a/src/godwitmast/admission/__init__.py
+++ b/src/godwitmast/admission/__init__.py
@@ -1,2 +1,1 @@
-"""Admission control: which requests are queued, in which order they start, and which
-are refused or preempted."""
+"""Admission control: which requests wait, start, are refused or are preempted."""
--- a/src/godwitmast/capacity/__init__.py
+++ b/src/godwitmast/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""How many backend servers, of which kind, in which availability zone."""
+"""Capacity planning: number and kind of backend servers per availability zone."""
--- a/src/godwitmast/capacity/demand.py
+++ b/src/godwitmast/capacity/demand.py
@@ -1,4 +1,4 @@
-"""What callers ask for, as entries count it and the orders' holder adds it up."""
+"""Demand of callers, counted by each entry and summed by the lease holder."""
 
 import math
 from collections.abc import Iterable
@@ -9,26 +9,28 @@
 from godwitmast.config.document import CapacityIntention, Document
 from godwitmast.types import ClassName, Json, PoolName
 
-DEMAND_PREFIX = "demand/"
-"""One row for each entry. It is apart from the usage journal, whose rows hold a sum
-for each team: reading those of every entry each round would be megabytes."""
+DEMAND_KEY_PREFIX = "demand/"
+"""Prefix of the demand rows, one per entry. They are separate from the usage journal,
+whose rows hold a sum for each team: reading those of every entry in each round would
+transfer megabytes."""
 
 OPEN = "open"
-"""Where an entry's load says how many requests run or wait there, by pool."""
+"""Key of an entry's load under which it reports how many requests run or wait there, by
+pool."""
 
-GONE_S = 60.0
-"""An entry whose row has not changed for this long was replaced."""
+NODE_EXPIRY_S = 60.0
+"""An entry whose row has not changed for this long was replaced, and is dropped."""
 
 
 class DemandKey(NamedTuple):
-    """What demand is counted by."""
+    """Pool and class that demand is counted by."""
 
     pool: str
     class_name: str
 
 
 class DemandSum(NamedTuple):
-    """Counts since the entry started; `waiting` is how many wait now."""
+    """Counts since the entry started, except `waiting`, which is the current number."""
 
     requests: int = 0
     prompt_tokens: int = 0
@@ -38,8 +40,10 @@
 
 
 class DemandMeter:
-    """An entry's counts. A request counts when it comes, whether it is let in or not:
-    a fleet sized by what it served would never grow past what it can serve.
+    """Demand counters of one entry.
+
+    A request counts when it arrives, whether it is admitted or not: a fleet sized by
+    the requests that were served would never grow beyond what it can already serve.
     """
 
     def __init__(self) -> None:
@@ -58,17 +62,17 @@
         )
 
     def dump(self, incarnation: str, waiting: dict[DemandKey, int]) -> Json:
-        """Return the row to write."""
+        """Return the row to write to the table."""
         sums = [
-            [*key, *total._replace(waiting=waiting.get(key, 0))]
-            for key, total in sorted(self.sums.items())
+            [*key, *counts._replace(waiting=waiting.get(key, 0))]
+            for key, counts in sorted(self.sums.items())
         ]
         return {"incarnation": incarnation, "sums": sums}
 
 
 @dataclass
 class NodeDemand:
-    """What one entry's row said last, and when that was new."""
+    """The last row of one entry, and when it was read."""
 
     version: int
     incarnation: str
@@ -78,95 +82,105 @@
 
 @dataclass
 class DemandBook:
-    """Adds up the entries' rows and turns them into servers' time."""
+    """Sums the demand rows of all entries and converts them to server time."""
 
     nodes: dict[str, NodeDemand] = field(default_factory=dict)
     seen_at: float | None = None
-    span_s: float = 0.0
-    grown: dict[DemandKey, DemandSum] = field(default_factory=dict)
+    interval_s: float = 0.0
+    increments: dict[DemandKey, DemandSum] = field(default_factory=dict)
     totals: dict[DemandKey, DemandSum] = field(default_factory=dict)
-    newest_at: float = -math.inf
+    last_change_at: float = -math.inf
 
     def take(self, rows: dict[str, tuple[int, Json]], now: float) -> None:
-        """Take every entry's row, as versions and values."""
-        grown: dict[DemandKey, DemandSum] = {}
+        """Read the demand rows of all entries, each as its version and value."""
+        increments: dict[DemandKey, DemandSum] = {}
         for key, (version, value) in rows.items():
-            self.take_row(key, version, value, now, grown)
-        for key in [k for k, n in self.nodes.items() if now - n.seen_at > GONE_S]:
+            self.apply_row(key, version, value, now, increments)
+        for key in [
+            k for k, n in self.nodes.items() if now - n.seen_at > NODE_EXPIRY_S
+        ]:
             del self.nodes[key]
-        self.span_s = now - self.seen_at if self.seen_at is not None else 0.0
+        self.interval_s = now - self.seen_at if self.seen_at is not None else 0.0
         self.seen_at = now
-        self.grown = grown
-        for demand_key, sums in grown.items():
+        self.increments = increments
+        for demand_key, sums in increments.items():
             old = self.totals.get(demand_key, DemandSum())
-            self.totals[demand_key] = add(old, sums)
+            self.totals[demand_key] = add_sums(old, sums)
 
-    def take_row(
+    def apply_row(
         self,
         key: str,
         version: int,
         value: Any,
         now: float,
-        grown: dict[DemandKey, DemandSum],
+        increments: dict[DemandKey, DemandSum],
     ) -> None:
         old = self.nodes.get(key)
         if old is not None and old.version == version:
             return
-        # Most counts of an entry are the same as five seconds ago. Comparing lists
-        # first keeps a round of 350 entries off the holder's event loop.
+        # Most counts of an entry have not changed since the last round, five seconds
+        # ago. Comparing lists first keeps a round of 350 entries from blocking the
+        # event loop of the lease holder.
         cells = {(row[0], row[1]): row[2:] for row in value["sums"]}
         self.nodes[key] = NodeDemand(version, value["incarnation"], cells, now)
         if old is None:
-            # Its counts are of a time that is not known, so they say nothing of now.
+            # The first row covers an unknown time, so that no rate follows from it.
             return
-        self.newest_at = now
-        before = old.cells if old.incarnation == value["incarnation"] else {}
-        for cell, total in cells.items():
-            was = before.get(cell)
-            if total != was:
-                change = [n - w for n, w in zip(total, was or NOTHING, strict=True)]
-                demand_key = DemandKey(*cell)
-                grown[demand_key] = add(grown.get(demand_key, DemandSum()), change)
+        self.last_change_at = now
+        old_cells = old.cells if old.incarnation == value["incarnation"] else {}
+        for cell_key, counts in cells.items():
+            old_counts = old_cells.get(cell_key)
+            if counts != old_counts:
+                increment = [
+                    n - w
+                    for n, w in zip(counts, old_counts or ZERO_COUNTS, strict=True)
+                ]
+                demand_key = DemandKey(*cell_key)
+                increments[demand_key] = add_sums(
+                    increments.get(demand_key, DemandSum()), increment
+                )
 
     def demand(
         self, pool: PoolName, document: Document, intention: CapacityIntention
     ) -> list[ClassDemand]:
-        """Return the pool's demand by class, as of the last two takes."""
+        """Return the pool's demand by class, between the last two rounds."""
         demands = []
-        for key, change in sorted(self.grown.items()):
+        for key, increment in sorted(self.increments.items()):
             target = document.classes.get(key.class_name)
-            if key.pool != pool or target is None or self.span_s <= 0:
+            if key.pool != pool or target is None or self.interval_s <= 0:
                 continue
-            answer_s = self.mean_answer(key) / intention.output_tokens_per_s
+            answer_s = self.mean_answer_tokens(key) / intention.output_tokens_per_s
             work = (
-                change.prompt_tokens / intention.prompt_tokens_per_s
-                + change.requests * answer_s
+                increment.prompt_tokens / intention.prompt_tokens_per_s
+                + increment.requests * answer_s
             )
-            backlog = self.waiting(key) * answer_s
+            backlog = self.waiting_requests(key) * answer_s
             name = ClassName(key.class_name)
-            demands.append(ClassDemand(name, target.tier, work / self.span_s, backlog))
+            demands.append(
+                ClassDemand(name, target.tier, work / self.interval_s, backlog)
+            )
         return demands
 
-    def mean_answer(self, key: DemandKey) -> float:
-        """Return the mean length of the class's answers so far, in tokens."""
-        total = self.totals.get(key, DemandSum())
-        return total.answer_tokens / total.answers if total.answers else 0.0
+    def mean_answer_tokens(self, key: DemandKey) -> float:
+        """Return the mean answer length of a class so far, in tokens."""
+        counts = self.totals.get(key, DemandSum())
+        return counts.answer_tokens / counts.answers if counts.answers else 0.0
 
-    def waiting(self, key: DemandKey) -> int:
+    def waiting_requests(self, key: DemandKey) -> int:
         return sum(
-            node.cells[key][WAITING]
+            node.cells[key][WAITING_INDEX]
             for node in self.nodes.values()
             if key in node.cells
         )
 
     def age_s(self, now: float) -> float:
-        """Return how long ago any entry said something new."""
-        return now - self.newest_at
+        """Return how many seconds ago the row of any entry last changed."""
+        return now - self.last_change_at
 
 
-NOTHING = list(DemandSum())
-WAITING = DemandSum._fields.index("waiting")
+ZERO_COUNTS = list(DemandSum())
+WAITING_INDEX = DemandSum._fields.index("waiting")
 
 
-def add(a: DemandSum, b: Iterable[int]) -> DemandSum:
+def add_sums(a: DemandSum, b: Iterable[int]) -> DemandSum:
     return DemandSum(*(x + y for x, y in zip(a, b, strict=True)))
--- a/src/godwitmast/capacity/duty.py
+++ b/src/godwitmast/capacity/duty.py
@@ -1,4 +1,4 @@
-"""Orders backend servers under the orders lease, for as long as it is held."""
+"""Planning rounds under the orders lease: publish the fleet and order servers."""
 
 from dataclasses import dataclass, field
 from functools import partial
@@ -7,7 +7,7 @@
 from prometheus_client import CollectorRegistry, Counter, Gauge
 
 from godwitmast.backends.client import BackendClient
-from godwitmast.capacity.demand import DEMAND_PREFIX, DemandBook
+from godwitmast.capacity.demand import DEMAND_KEY_PREFIX, DemandBook
 from godwitmast.capacity.fleet import (
     EMPTY,
     SERVERS_KEY,
@@ -46,14 +46,14 @@
 
 ROUND_S = 5.0
 ORDER_TIMEOUT_S = 2.0
-"""Shorter than the lease's guard: an order that is still out when the lease lapses
-has ended before any other process can hold it."""
+"""Less than the guard time of the lease, so that an order sent before the lease expires
+has ended before another process can hold the lease."""
 
 LOAD_TIMEOUT_S = 0.8
 
 
 class CapacityMetrics:
-    """What a control shows of the fleet; spend counts only while it holds the lease."""
+    """Fleet metrics of a control process; only the lease holder counts spend."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         self.held = Gauge(
@@ -83,7 +83,7 @@
 
 @dataclass
 class CapacityDuty:
-    """The duty of the holder of the lease `orders`."""
+    """Orders servers while this process holds the lease `orders`."""
 
     platform: PlatformClient
     follower: ConfigFollower
@@ -98,25 +98,28 @@
         self.metrics = CapacityMetrics(self.registry)
         self.book = OrderBook()
         self.demand = DemandBook()
-        self.counted_at: float | None = None
+        self.metrics_updated_at: float | None = None
 
     async def run(self, guard: Guard) -> None:
-        """Plan and order each round, until cancelled."""
+        """Run a planning round at each interval, until cancelled."""
         self.demand = DemandBook()
         self.planners = {}
-        self.counted_at = None
+        self.metrics_updated_at = None
         self.metrics.held.set(1)
         try:
             while not await self.resume():
                 await anyio.sleep(self.round_s)
             while True:
-                await self.round(guard)
+                await self.run_round(guard)
                 await anyio.sleep(self.round_s)
         finally:
             self.metrics.held.set(0)
 
     async def resume(self) -> bool:
-        """Read what the last holder left; nothing is ordered before that is known."""
+        """Load the previous holder's state; return False if it cannot be read yet.
+
+        Nothing is ordered before it is known.
+        """
         intents = await run_steps(self.platform, read_intents(self.name))
         if intents is None:
             return False
@@ -129,30 +132,32 @@
         self.book.resume(intents, load_fleet(row.value) if row else EMPTY)
         return True
 
-    async def round(self, guard: Guard) -> None:
-        """Settle what is out, publish the fleet, then plan.
+    async def run_round(self, guard: Guard) -> None:
+        """Resend pending orders, publish the fleet, then plan.
 
-        When the platform does not answer, the round ends there: the fleet stays as
-        it is, entries go on with the row that they have, and no order leaves.
+        If the platform does not answer, the round ends: the fleet stays as it is,
+        entries keep the row that they have, and no order is sent.
         """
         try:
-            await self.settle_pending(guard)
+            await self.resend_pending(guard)
             fleet = await self.platform.fleet()
-            rows = await self.platform.scan(DEMAND_PREFIX)
+            rows = await self.platform.scan(DEMAND_KEY_PREFIX)
         except PlatformError as error:
             log_event("capacity_frozen", level="WARNING", error=error)
             return
-        self.count(fleet)
+        self.update_metrics(fleet)
         now = self.clock.now()
         self.demand.take({k: (r.version, r.value) for k, r in rows.items()}, now)
-        if not await self.publish(guard, self.book.publish(fleet)):
+        if not await self.publish(guard, self.book.make_row(fleet)):
             return
-        await self.ask_draining()
+        await self.update_running_requests()
         config = self.follower.current
         if config is None:
             return
         for pool, intention in config.document.capacity.items():
-            view = self.view(PoolName(pool), config.document, intention, fleet, now)
+            view = self.make_view(
+                PoolName(pool), config.document, intention, fleet, now
+            )
             planner = self.planner(pool, config.document, intention)
             for decision in planner.step(view):
                 if not await self.carry_out(guard, planner, decision):
@@ -172,7 +177,7 @@
         planner.update(names, intention)
         return planner
 
-    def view(
+    def make_view(
         self,
         pool: PoolName,
         document: Document,
@@ -184,7 +189,7 @@
         return View(
             now,
             self.demand.demand(pool, document, intention),
-            self.book.view(pool, fleet, document.backends, wall),
+            self.book.list_servers(pool, fleet, document.backends, wall),
             self.demand.age_s(now),
             wall,
         )
@@ -192,23 +197,27 @@
     async def carry_out(
         self, guard: Guard, planner: Planner, decision: Decision
     ) -> bool:
-        """Carry out a decision; False when this process is no longer to decide."""
+        """Carry out a decision; return False if the round must end.
+
+        That is the case if the lease was lost, or if a write or an intent could not be
+        recorded.
+        """
         match decision:
             case Drain() | Undrain():
                 log_event("capacity_drain", decision=decision)
-                changed = self.book.drained(decision, self.clock.wall())
+                changed = self.book.set_draining(decision, self.clock.wall())
                 return await self.publish(guard, changed)
             case Order() | Release():
-                return await self.give(guard, planner, decision)
+                return await self.record_and_send(guard, planner, decision)
 
-    async def give(
+    async def record_and_send(
         self, guard: Guard, planner: Planner, decision: Order | Release
     ) -> bool:
-        """Write an order down under the lease, then send it."""
+        """Record an order as an intent under the lease, then send it."""
         fence = guard.fence_if_held(self.clock.now(), self.clock.wall())
         if fence is None:
             return False
-        intent = self.book.intend(decision, fence)
+        intent = self.book.make_intent(decision, fence)
         if intent is None:
             return True
         recorded = await run_steps(
@@ -216,37 +225,37 @@
         )
         if recorded is not Recorded.WRITTEN:
             return False
-        self.book.recorded(intent)
+        self.book.add_pending(intent)
         outcome = await self.send(guard, intent)
         if outcome is OrderOutcome.UNAVAILABLE and isinstance(decision, Order):
             planner.cheap_refused(decision.zone, self.clock.now())
         return outcome is not OrderOutcome.STALE
 
-    async def settle_pending(self, guard: Guard) -> None:
-        """Send again each order whose outcome is not known, under its own id."""
+    async def resend_pending(self, guard: Guard) -> None:
+        """Resend every pending order under its own id."""
         for intent in list(self.book.pending.values()):
             if await self.send(guard, intent) is OrderOutcome.STALE:
                 return
 
     async def send(self, guard: Guard, intent: Intent) -> OrderOutcome:
-        """Send an intent's order and forget the intent once its outcome is known."""
+        """Send the order of an intent; drop the intent once its outcome is known."""
         fence = guard.fence_if_held(self.clock.now(), self.clock.wall())
         if fence is None:
             return OrderOutcome.STALE
         body = {**intent.order, "order_id": intent.intent_id, "fence": fence}
-        outcome = await self.ask(body)
+        outcome = await self.request_order(body)
         action = intent.order["action"]
         self.metrics.orders.labels(action, outcome.value).inc()
         log_event("capacity_order", outcome=outcome.value, **body)
         if outcome in (OrderOutcome.DONE, OrderOutcome.UNAVAILABLE):
-            self.book.settled(intent.intent_id)
-            # Were this write lost, the order would be sent again and count once.
+            self.book.remove_pending(intent.intent_id)
+            # If this write is lost, the order is sent again, and counts only once.
             await run_steps(
                 self.platform, drop_intent(self.name, guard, intent.intent_id)
             )
         return outcome
 
-    async def ask(self, body: dict[str, object]) -> OrderOutcome:
+    async def request_order(self, body: dict[str, object]) -> OrderOutcome:
         try:
             answer = await self.platform.order(body, ORDER_TIMEOUT_S)
         except PlatformUnavailable:
@@ -259,47 +268,51 @@
         return OrderOutcome.STALE if stale else OrderOutcome.UNAVAILABLE
 
     async def publish(self, guard: Guard, row: FleetRow) -> bool:
-        """Write the fleet row under the lease, if it changed."""
+        """Write the fleet row if it changed; return False if that failed."""
         if row == self.book.published:
             return True
         try:
             written = await self.platform.transact(guard.checks, dump_fleet(row))
         except PlatformError as error:
             log_event("fleet_not_published", level="WARNING", error=error)
-            self.book.unsure = True
+            self.book.is_write_uncertain = True
             return False
         if not isinstance(written, Written):
             return False
         self.book.published = row
-        self.book.unsure = False
+        self.book.is_write_uncertain = False
         return True
 
-    async def ask_draining(self) -> None:
-        """Ask the servers that drain, and only those, what still runs there."""
+    async def update_running_requests(self) -> None:
+        """Query the load of the draining servers."""
         draining = {
             name: server.url
             for name, server in self.book.published.servers.items()
             if server.draining_since is not None
         }
-        self.book.running = {}
+        self.book.running_requests = {}
         async with anyio.create_task_group() as tasks:
             for name, url in draining.items():
-                tasks.start_soon(partial(self.ask_running, name, url))
+                tasks.start_soon(partial(self.read_running_requests, name, url))
 
-    async def ask_running(self, name: str, url: str) -> None:
-        said = await self.client.get_json(f"{url}/load", LOAD_TIMEOUT_S)
+    async def read_running_requests(self, name: str, url: str) -> None:
+        load_report = await self.client.get_json(f"{url}/load", LOAD_TIMEOUT_S)
         try:
-            running = int(said["running"]) + int(said["waiting"])  # type: ignore
+            running = int(load_report["running"]) + int(load_report["waiting"])  # type: ignore
         except (KeyError, TypeError, ValueError):
-            self.book.running[name] = None
+            self.book.running_requests[name] = None
             return
-        self.book.running[name] = running
+        self.book.running_requests[name] = running
 
-    def count(self, fleet: list[FleetServer]) -> None:
-        """Show the fleet, and add what it cost since the last round."""
+    def update_metrics(self, fleet: list[FleetServer]) -> None:
+        """Set the fleet gauges, and add the spend since the previous round."""
         now = self.clock.now()
-        hours = (now - self.counted_at) / 3600 if self.counted_at is not None else 0.0
-        self.counted_at = now
+        hours = (
+            (now - self.metrics_updated_at) / 3600
+            if self.metrics_updated_at is not None
+            else 0.0
+        )
+        self.metrics_updated_at = now
         self.metrics.servers.clear()
         capacity = (
             self.follower.current.document.capacity if self.follower.current else {}
--- a/src/godwitmast/capacity/fleet.py
+++ b/src/godwitmast/capacity/fleet.py
@@ -1,4 +1,4 @@
-"""The row that tells entries of ordered servers, and what they make of it."""
+"""Rows that publish the ordered servers to the entries."""
 
 from typing import NamedTuple
 
@@ -6,19 +6,20 @@
 from godwitmast.types import Json
 
 HEAD_KEY = "fleet/head"
-"""The number of the fleet row: entries ask for this often, as it is small."""
+"""Row with the number of the published fleet; it is small, because entries poll it."""
 
 SERVERS_KEY = "fleet/servers"
-"""One row with every ordered server that serves, drains or leaves.
+"""Row with every ordered server that serves, drains or leaves.
 
-Entries read it when its number rose, in place of the platform's fleet: 350 of them
-would ask for a list that one process has already checked, and could not know what is
-draining. At 850 servers it has 140 KiB, too much to be read every two seconds.
+Entries read it when its number rises, instead of asking the platform for its fleet: 350
+entries would request a list that one process has already checked, and that does not say
+which servers drain. At 850 servers the row has 140 KiB, too much to be read every two
+seconds.
 """
 
 
 class PublishedServer(NamedTuple):
-    """An ordered server as entries need it; `leaving` gets no new work."""
+    """An ordered server as published to entries; a leaving one gets no new requests."""
 
     url: str
     zone: str
@@ -30,7 +31,7 @@
 
 
 class FleetRow(NamedTuple):
-    """The published fleet; numbers only rise, over all holders of the lease."""
+    """The published fleet; its number only rises, across all holders of the lease."""
 
     number: int
     servers: dict[str, PublishedServer]
@@ -40,7 +41,7 @@
 
 
 def dump_fleet(row: FleetRow) -> dict[str, Json]:
-    """Return both rows, which are written together."""
+    """Return the values of both rows, which are written in one transaction."""
     servers = {name: server._asdict() for name, server in row.servers.items()}
     return {
         HEAD_KEY: {"number": row.number},
@@ -49,7 +50,7 @@
 
 
 def load_fleet(value: Json) -> FleetRow:
-    """Return the fleet in the value of the servers' row."""
+    """Return the fleet from the value of the servers row."""
     servers = {n: PublishedServer(**item) for n, item in value["servers"].items()}
     return FleetRow(value["number"], servers)
 
@@ -57,7 +58,7 @@
 def merge_backends(
     configured: dict[str, Backend], fleet: FleetRow
 ) -> dict[str, Backend]:
-    """Return the operators' servers and the ordered ones; a name is the operators'."""
+    """Return configured and ordered servers; the configuration wins on equal names."""
     ordered = {
         name: Backend(
             server.url,
--- a/src/godwitmast/capacity/follower.py
+++ b/src/godwitmast/capacity/follower.py
@@ -1,4 +1,4 @@
-"""Keeps an entry on the published fleet, and the fleet's planner on its demand."""
+"""Reader of the published fleet and source of the demand row, in an entry."""
 
 import secrets
 from collections.abc import Callable
@@ -7,7 +7,7 @@
 from anyio.abc import TaskGroup
 
 from godwitmast.background import Background
-from godwitmast.capacity.demand import DEMAND_PREFIX, DemandKey, DemandMeter
+from godwitmast.capacity.demand import DEMAND_KEY_PREFIX, DemandKey, DemandMeter
 from godwitmast.capacity.fleet import EMPTY, SERVERS_KEY, FleetRow, load_fleet
 from godwitmast.errors import PlatformError
 from godwitmast.logs import log_event
@@ -16,11 +16,11 @@
 
 
 class FleetFollower:
-    """Reads the fleet when its number rises, and gives the row of the entry's demand.
+    """Reads the published fleet when its number rises, and builds the demand row.
 
-    The number is read along with the configuration's head, and the demand is written
-    with the node's own row. Each had a request of its own before: 0.5 reads and 0.2
-    writes a second more for every node.
+    The number is read together with the configuration's head, and the demand is written
+    together with the node's own row. Separate requests would add 0.5 reads and 0.2
+    writes a second for every node.
     """
 
     def __init__(
@@ -29,41 +29,41 @@
         node: str,
         meter: DemandMeter,
         waiting: Callable[[], dict[DemandKey, int]],
-        changed: Callable[[FleetRow], None],
+        on_fleet_change: Callable[[FleetRow], None],
     ) -> None:
         self.platform = platform
         self.node = node
         self.meter = meter
         self.waiting = waiting
-        self.changed = changed
+        self.on_fleet_change = on_fleet_change
         self.incarnation = secrets.token_hex(4)
         self.current = EMPTY
-        self.newer = anyio.Event()
+        self.newer_published = anyio.Event()
         self.background = Background(self.run)
 
     async def start(self, tasks: TaskGroup) -> None:
         await self.background.start(tasks)
 
     async def close(self) -> None:
-        """Ask the platform nothing more, so that its client can be closed."""
+        """Stop reading, so that the platform client can be closed."""
         await self.background.close()
 
     def head_seen(self, head: Json) -> None:
-        """Take the fleet's number, which comes with each read of the configuration's.
+        """Wake the reader if the published number is higher than the one in force.
 
-        A read that fails is made up for when the number is seen again.
+        A read that fails is repeated when the number is polled again.
         """
         if head["number"] > self.current.number:
-            self.newer.set()
+            self.newer_published.set()
 
     async def run(self) -> None:
         while True:
-            await self.newer.wait()
-            self.newer = anyio.Event()
+            await self.newer_published.wait()
+            self.newer_published = anyio.Event()
             await self.read()
 
     async def read(self) -> None:
-        """Take the fleet if its number is higher; without the table the last holds."""
+        """Apply the published fleet if its number is higher; do nothing on errors."""
         try:
             row = (await self.platform.read([SERVERS_KEY])).get(SERVERS_KEY)
         except PlatformError:
@@ -74,12 +74,12 @@
         if fleet.number > self.current.number:
             self.current = fleet
             log_event("fleet_in_force", number=fleet.number, servers=len(fleet.servers))
-            self.changed(fleet)
+            self.on_fleet_change(fleet)
 
     def demand_row(self) -> dict[str, Json]:
-        """Return the row that tells the planner this entry's demand.
+        """Return the row that reports this entry's demand to the planner.
 
-        It is cumulative, so a write that is lost is made good by the next.
+        Its counts are cumulative, so that the next write makes up for a lost one.
         """
         row = self.meter.dump(self.incarnation, self.waiting())
-        return {f"{DEMAND_PREFIX}{self.node}": row}
+        return {f"{DEMAND_KEY_PREFIX}{self.node}": row}
--- a/src/godwitmast/capacity/forecast.py
+++ b/src/godwitmast/capacity/forecast.py
@@ -1,33 +1,33 @@
-"""How much work each class will ask for when a server ordered now begins to serve."""
+"""Forecast of each class's work at the time when a server ordered now is ready."""
 
 import math
 from dataclasses import dataclass, field
 
 from godwitmast.types import ClassName
 
-LEVEL_S = 45.0
-"""Time constant of the level. Shorter follows the noise of a few seconds' arrivals;
-longer sees a burst only when its queue is already past the targets."""
+LEVEL_TIME_CONSTANT_S = 45.0
+"""A shorter time constant follows the noise of a few seconds' arrivals; with a longer
+one a burst shows only when its queue is already past the targets."""
 
-TREND_S = 240.0
-"""Time constant of the trend: a start takes about three minutes, and a trend that
-lives shorter than that would be gone before the server it asked for serves."""
+TREND_TIME_CONSTANT_S = 240.0
+"""A server takes about three minutes to start. With a shorter time constant the trend
+would be gone before the server that it caused is serving."""
 
 SLOT_S = 900.0
-SLOTS = 96
-"""The daily profile has a slot for each quarter of an hour."""
+SLOTS_PER_DAY = 96
+"""The daily profile has one slot per quarter of an hour."""
 
-PROFILE_WEIGHT = 0.5
-"""Weight of the newest day in the profile: two days ago counts a quarter."""
+NEWEST_DAY_WEIGHT = 0.5
+"""Weight of the newest day in the profile; the day before it has a quarter."""
 
-PROFILE_RATIO = (0.5, 1.5)
-"""Bounds on today's level against the profile's: a day unlike the others is followed,
-but one hour without callers must not erase an evening that comes every day."""
+PROFILE_SCALE_BOUNDS = (0.5, 1.5)
+"""Bounds on the ratio of today's level to the profile. A day unlike the others is
+followed, but one hour without callers must not erase the evening peak of every day."""
 
 
 @dataclass(slots=True)
 class Trend:
-    """An exponentially smoothed level with a trend (Holt, 1957) and its error."""
+    """Exponentially smoothed level, trend (Holt, 1957) and error variance."""
 
     level: float
     slope: float = 0.0
@@ -38,21 +38,21 @@
         gap = max(now - self.updated, 1e-3)
         expected = self.level + self.slope * gap
         error = value - expected
-        alpha = 1 - math.exp(-gap / LEVEL_S)
-        beta = 1 - math.exp(-gap / TREND_S)
-        before = self.level
+        alpha = 1 - math.exp(-gap / LEVEL_TIME_CONSTANT_S)
+        beta = 1 - math.exp(-gap / TREND_TIME_CONSTANT_S)
+        previous_level = self.level
         self.level = expected + alpha * error
-        self.slope += beta * ((self.level - before) / gap - self.slope)
-        # Only what came above the forecast is noise to keep room for: a fall of the
-        # demand would otherwise order servers for its own surprise.
-        above = max(0.0, error)
-        self.variance += alpha * (above * above - self.variance)
+        self.slope += beta * ((self.level - previous_level) / gap - self.slope)
+        # Only demand above the forecast needs headroom: errors from a fall of the
+        # demand would otherwise order servers.
+        excess = max(0.0, error)
+        self.variance += alpha * (excess * excess - self.variance)
         self.updated = now
 
-    def at(self, ahead_s: float, sigmas: float) -> float:
-        """Return the work expected in `ahead_s`, with room for noise.
+    def extrapolate(self, ahead_s: float, sigmas: float) -> float:
+        """Return the work expected in `ahead_s` seconds, plus `sigmas` standard errors.
 
-        A falling trend is not followed: the servers go by hysteresis, not by hope.
+        A falling trend is ignored: the planner's hysteresis decides when servers go.
         """
         noise = sigmas * math.sqrt(self.variance)
         return max(0.0, self.level + max(0.0, self.slope) * ahead_s + noise)
@@ -60,15 +60,17 @@
 
 @dataclass
 class Profile:
-    """The mean work of each quarter of an hour of the days before."""
+    """Mean work in each quarter of an hour of the day, over the past days."""
 
-    days: list[float | None] = field(default_factory=lambda: [None] * SLOTS)
+    slot_means: list[float | None] = field(
+        default_factory=lambda: [None] * SLOTS_PER_DAY
+    )
     slot: int = -1
     total: float = 0.0
     count: int = 0
 
     def observe(self, value: float, wall: float) -> None:
-        slot = int(wall // SLOT_S) % SLOTS
+        slot = int(wall // SLOT_S) % SLOTS_PER_DAY
         if slot != self.slot:
             self.close_slot()
             self.slot = slot
@@ -78,25 +80,25 @@
     def close_slot(self) -> None:
         if self.count:
             mean = self.total / self.count
-            old = self.days[self.slot]
-            self.days[self.slot] = (
-                mean if old is None else old + PROFILE_WEIGHT * (mean - old)
+            old = self.slot_means[self.slot]
+            self.slot_means[self.slot] = (
+                mean if old is None else old + NEWEST_DAY_WEIGHT * (mean - old)
             )
         self.total = 0.0
         self.count = 0
 
-    def ahead(self, level: float, wall: float, ahead_s: float) -> float:
-        """Return what the days before say of `ahead_s` from now, scaled to today."""
-        here = self.days[int(wall // SLOT_S) % SLOTS]
-        there = self.days[int((wall + ahead_s) // SLOT_S) % SLOTS]
-        if not here or there is None:
+    def predict(self, level: float, wall: float, ahead_s: float) -> float:
+        """Return the work of past days `ahead_s` seconds from now, scaled to today."""
+        current_mean = self.slot_means[int(wall // SLOT_S) % SLOTS_PER_DAY]
+        future_mean = self.slot_means[int((wall + ahead_s) // SLOT_S) % SLOTS_PER_DAY]
+        if not current_mean or future_mean is None:
             return 0.0
-        low, high = PROFILE_RATIO
-        return there * min(high, max(low, level / here))
+        low, high = PROFILE_SCALE_BOUNDS
+        return future_mean * min(high, max(low, level / current_mean))
 
 
 class Forecast:
-    """The work that each class will ask for; one for each pool."""
+    """Forecast of each class's work in one pool."""
 
     def __init__(self, lead_s: float, sigmas: float = 1.0) -> None:
         self.lead_s = lead_s
@@ -113,11 +115,11 @@
             trend.observe(work, now)
         self.profiles[name].observe(work, wall)
 
-    def expect(self, name: ClassName, wall: float) -> float:
-        """Return the most that now, the trend and the days before make likely."""
+    def predict(self, name: ClassName, wall: float) -> float:
+        """Return the higher of the trend's and the daily profile's prediction."""
         trend = self.trends[name]
         profile = self.profiles[name]
         return max(
-            trend.at(self.lead_s, self.sigmas),
-            profile.ahead(trend.level, wall, self.lead_s),
+            trend.extrapolate(self.lead_s, self.sigmas),
+            profile.predict(trend.level, wall, self.lead_s),
         )
--- a/src/godwitmast/capacity/messages.py
+++ b/src/godwitmast/capacity/messages.py
@@ -1,4 +1,4 @@
-"""What the capacity decisions are told, and what they ask for."""
+"""Inputs and decisions of the capacity planner."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -10,25 +10,25 @@
 
 
 class ServerState(Enum):
-    """Where an ordered server is in its life."""
+    """Lifecycle state of a server."""
 
     ORDERED = "ordered"
-    """Asked for; the platform has not shown it yet."""
+    """Ordered, but not in the platform's list yet."""
     STARTING = "starting"
     SERVING = "serving"
     DRAINING = "draining"
-    """Gets no new work, so that it can be released without harm."""
+    """Gets no new requests, so that it can be released without failing any."""
     LEAVING = "leaving"
-    """The platform gave notice: it goes whether it is empty or not."""
+    """Under notice of eviction: the platform takes it whether it is empty or not."""
     SILENT = "silent"
-    """The platform says that it serves, and no entry gets an answer from it."""
+    """Listed by the platform as serving, but no entry gets an answer from it."""
 
 
 class ServerView(NamedTuple):
-    """A server as the newest reports have it; `running` counts its open requests.
+    """A server as the latest reports show it; `running` counts its open requests.
 
-    One that is not `ordered` stands in the configuration: it counts as capacity, and
-    is the operators' own to take away.
+    A server that is not `ordered` comes from the configuration: it counts as capacity,
+    and only the operators remove it.
     """
 
     backend_id: BackendId
@@ -40,10 +40,11 @@
 
 
 class ClassDemand(NamedTuple):
-    """What callers ask of a class, in servers' time.
+    """Demand of a class, in server time.
 
-    `work` is seconds of one whole server asked for in each second; `backlog` is
-    seconds of one whole server that wait in the entries' queues.
+    `work` is the offered load: seconds of one fully used server per second. `backlog`
+    is the work of the requests in the entries' queues, in seconds of one fully used
+    server.
     """
 
     class_name: ClassName
@@ -53,10 +54,10 @@
 
 
 class View(NamedTuple):
-    """Everything that a plan for one pool is made from.
+    """Input of a plan for one pool.
 
-    `age_s` is how old the oldest report in it is. `wall` is the time of day, which
-    decides nothing but where in the daily profile a figure is kept.
+    `age_s` is the time since the demand row of any entry last changed. `wall` is the
+    time of day, used only to select slots of the daily profile.
     """
 
     now: float
@@ -68,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """Ask the platform for one server."""
+    """Order one server from the platform."""
 
     pool: PoolName
     zone: ZoneName
@@ -78,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """Give a server no new work; it is released once it is empty."""
+    """Send a server no new requests; it is released once it runs none."""
 
     backend_id: BackendId
     reason: str
@@ -86,30 +87,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Undrain:
-    """Give a draining server work again: cheaper than a start from nothing."""
+    """Send a draining server requests again, which is cheaper than a new start."""
 
     backend_id: BackendId
 
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """Give a server back."""
+    """Return a server to the platform."""
 
     backend_id: BackendId
 
 
 class OrderOutcome(Enum):
-    """What the platform made of an order."""
+    """Outcome of an order."""
 
     DONE = "done"
     UNAVAILABLE = "unavailable"
-    """There is no such server to be had in that zone now."""
+    """The zone has no such server at present."""
     STALE = "stale"
     """Another process holds the lease."""
     NOT_SENT = "not_sent"
-    """Nothing took effect; the same order is sent again later."""
+    """The order had no effect; it is sent again later."""
     UNKNOWN = "unknown"
-    """It may have taken effect; the same order, under its id, settles that."""
+    """The order may have had an effect; sending it again under its id settles that."""
 
 
 Decision = Order | Drain | Undrain | Release
--- a/src/godwitmast/capacity/planner.py
+++ b/src/godwitmast/capacity/planner.py
@@ -1,8 +1,8 @@
-"""Plans one pool's servers: what to order, drain and release, and when to wait.
+"""Planner for one pool: which servers to order, drain, undrain and release.
 
-It answers a demand that moves faster than servers start. Without it a fleet is
-either sized for its peak all day, or chases each minute's noise: servers that are
-ordered, started and released again cost as much as ones that serve.
+It answers demand that changes faster than servers start. Without a plan a fleet is
+either sized for its peak all day, or follows each minute's noise: servers that are
+ordered, started and soon released cost as much as servers that serve.
 """
 
 import math
@@ -22,44 +22,49 @@
 )
 from godwitmast.capacity.sizing import (
     Mix,
-    divide,
+    cut_to_budget,
     emptiest_zone,
-    servers_for,
-    within_budget,
+    servers_needed,
+    split_by_kind,
 )
 from godwitmast.config.document import CapacityIntention
 from godwitmast.types import PoolName, ZoneName
 
-HOLD_S = 600.0
-"""A server goes only when the plan has not wanted it for this long: over three times
-a start, so that the two halves of one burst are served by the same servers."""
+SHRINK_DELAY_S = 600.0
+"""A server is drained only if no plan within this time needed it: over three times the
+start time of a server, so that the two halves of one burst are served by the same
+servers."""
 
-DRAIN_EVERY_S = 60.0
-"""One server at a time, so that a plan that is wrong is seen before the next."""
+DRAIN_INTERVAL_S = 60.0
+"""Minimum time between two drains, so that a wrong plan shows its effect before the
+next server is drained."""
 
-ORDER_SHARE = 0.34
-"""Share of the fleet that may start at once: weights come from one store at a limited
-rate, and a crowd of loads makes each of them late."""
+MAX_STARTING_SHARE = 0.34
+"""Maximum share of the planned fleet that may be starting at once. Weights are loaded
+from one store at a limited rate, and many loads at once make each of them late."""
 
-ORDERS_AT_LEAST = 2
+MIN_STARTING = 2
+"""Number of servers that may always be starting at once."""
 
-REFUSED_S = 300.0
-"""For how long a zone that had no cheap server, or lost one, is not asked again. The
-platform needs about as long to get room back; asking each round costs orders."""
+REFUSAL_BACKOFF_S = 300.0
+"""How long a zone is not asked for cheap servers after it had none or evicted one. The
+platform takes about as long to regain capacity there; asking in each round would waste
+orders."""
 
-STALE_S = 30.0
-"""Older reports order nothing and release nothing: twice an entry's longest gap
-between two reports, so that one lost write does not freeze the fleet."""
+MAX_REPORT_AGE_S = 30.0
+"""With older reports the fleet stays as it is. It is twice the longest interval between
+two reports of an entry, so that one lost write does not freeze the fleet."""
 
-SILENT_SHARE = 0.34
-"""When more than this share of the servers falls silent at once, the reports are the
-likelier cause, and replacing them all would double the spend for nothing."""
+MAX_SILENT_SHARE = 0.34
+"""If more than this share of the servers is silent at once, the reports are more likely
+at fault than the servers, and replacing all of them would double the spend for
+nothing."""
 
 COUNTED = (ServerState.ORDERED, ServerState.STARTING, ServerState.SERVING)
 
 
 class Planner:
-    """The plan for one pool, made anew each round from the newest view."""
+    """Planner for one pool; it computes a new plan each round from the latest view."""
 
     def __init__(
         self, pool: PoolName, zones: list[ZoneName], intention: CapacityIntention
@@ -68,161 +73,191 @@
         self.zones = zones
         self.intention = intention
         self.forecast = Forecast(intention.start_s)
-        self.wanted: list[tuple[float, int]] = []
+        self.recent_totals: list[tuple[float, int]] = []
         self.refused_until: dict[ZoneName, float] = {}
-        self.began: float | None = None
-        self.drained_at = -math.inf
-        self.target = Mix(0, 0)
-        self.held = Mix(0, 0)
+        self.started_at: float | None = None
+        self.last_drain_at = -math.inf
+        self.target_mix = Mix(0, 0)
+        self.peak_mix = Mix(0, 0)
 
     def update(self, zones: list[ZoneName], intention: CapacityIntention) -> None:
-        """Take a new intention; what was learned of the demand is kept."""
+        """Apply new zones and intention; the forecast keeps its state."""
         self.zones = zones
         self.intention = intention
         self.forecast.lead_s = intention.start_s
 
     def cheap_refused(self, zone: ZoneName, now: float) -> None:
-        """Note that a zone had no cheap server, so that others are asked first."""
-        self.refused_until[zone] = now + REFUSED_S
+        """Record that a zone had no cheap server; other zones are then asked first."""
+        self.refused_until[zone] = now + REFUSAL_BACKOFF_S
 
     def step(self, view: View) -> list[Decision]:
-        """Return what is to be done now."""
-        if view.age_s > STALE_S:
+        """Return the decisions of this round."""
+        if view.age_s > MAX_REPORT_AGE_S:
             return []
         for server in view.servers:
             if server.state is ServerState.LEAVING:
-                self.refused_until[server.zone] = view.now + REFUSED_S
-        total = self.wanted_total(view)
-        if self.reports_contradict(view):
+                self.refused_until[server.zone] = view.now + REFUSAL_BACKOFF_S
+        total = self.forecast_total(view)
+        if self.reports_are_implausible(view):
             return []
-        self.wanted.append((view.now, total))
-        self.wanted = [item for item in self.wanted if item[0] > view.now - HOLD_S]
-        high = self.high_work(view)
-        self.target = self.mix_for(total, high)
-        self.held = self.mix_for(max(total for _, total in self.wanted), high)
-        return [*self.order(view), *self.shrink(view), *self.release(view)]
+        self.recent_totals.append((view.now, total))
+        self.recent_totals = [
+            item for item in self.recent_totals if item[0] > view.now - SHRINK_DELAY_S
+        ]
+        high = self.forecast_high_tiers(view)
+        self.target_mix = self.mix_for(total, high)
+        self.peak_mix = self.mix_for(
+            max(total for _, total in self.recent_totals), high
+        )
+        return [
+            *self.plan_orders(view),
+            *self.plan_drain(view),
+            *self.plan_releases(view),
+        ]
 
     def mix_for(self, total: int, high_work: float) -> Mix:
-        mix = divide(total, high_work, len(self.zones), self.intention)
-        return within_budget(mix, self.intention)
+        mix = split_by_kind(total, high_work, len(self.zones), self.intention)
+        return cut_to_budget(mix, self.intention)
 
-    def wanted_total(self, view: View) -> int:
-        """Return how many servers the forecast needs."""
+    def forecast_total(self, view: View) -> int:
+        """Update the forecast, and return how many servers it requires."""
         for demand in view.demand:
             self.forecast.observe(demand.class_name, demand.work, view.now, view.wall)
-        work = sum(self.forecast.expect(d.class_name, view.wall) for d in view.demand)
+        work = sum(self.forecast.predict(d.class_name, view.wall) for d in view.demand)
         backlog = sum(d.backlog for d in view.demand)
-        return servers_for(work, backlog, self.intention)
+        return servers_needed(work, backlog, self.intention)
 
-    def high_work(self, view: View) -> float:
-        """Return the forecast of the tiers that a lost zone must not touch."""
+    def forecast_high_tiers(self, view: View) -> float:
+        """Return the forecast work of the tiers that a zone loss must not affect."""
         tiers = sorted({d.tier for d in view.demand})[: self.intention.high_tiers]
         return sum(
-            self.forecast.expect(d.class_name, view.wall)
+            self.forecast.predict(d.class_name, view.wall)
             for d in view.demand
             if d.tier in tiers
         )
 
-    def reports_contradict(self, view: View) -> bool:
-        """Return whether the reports are a likelier fault than the servers."""
+    def reports_are_implausible(self, view: View) -> bool:
+        """Return whether too many servers are silent for the reports to be right."""
         silent = sum(s.state is ServerState.SILENT for s in view.servers)
-        return silent > max(1, SILENT_SHARE * len(view.servers))
+        return silent > max(1, MAX_SILENT_SHARE * len(view.servers))
 
-    def order(self, view: View) -> list[Decision]:
-        """Order what is missing, as fast as starts may go."""
-        counts = count(view.servers)
-        have = kinds(view.servers)
-        missing = self.target.total - sum(have.values())
+    def plan_orders(self, view: View) -> list[Decision]:
+        """Undrain or order missing servers, within the limit on starting servers."""
+        by_zone_and_kind = count_by_zone_and_kind(view.servers)
+        by_kind = count_by_kind(view.servers)
+        missing = self.target_mix.total - sum(by_kind.values())
         if missing <= 0:
-            return self.swap(view.now, have, counts)
-        waking = [s for s in view.servers if s.state is ServerState.DRAINING][:missing]
-        decisions: list[Decision] = [Undrain(s.backend_id) for s in waking]
+            return self.plan_swap(view.now, by_kind, by_zone_and_kind)
+        to_undrain = [s for s in view.servers if s.state is ServerState.DRAINING][
+            :missing
+        ]
+        decisions: list[Decision] = [Undrain(s.backend_id) for s in to_undrain]
         starting = sum(
             s.state in (ServerState.ORDERED, ServerState.STARTING) for s in view.servers
         )
-        allowed = max(ORDERS_AT_LEAST, math.ceil(ORDER_SHARE * self.target.total))
-        for _ in range(min(missing - len(waking), allowed - starting)):
-            order = self.next_order(view.now, have, counts)
+        allowed = max(
+            MIN_STARTING, math.ceil(MAX_STARTING_SHARE * self.target_mix.total)
+        )
+        for _ in range(min(missing - len(to_undrain), allowed - starting)):
+            order = self.choose_order(view.now, by_kind, by_zone_and_kind)
             if order is None:
                 break
             decisions.append(order)
-            counts[order.zone, order.kind] += 1
-            have[order.kind] += 1
+            by_zone_and_kind[order.zone, order.kind] += 1
+            by_kind[order.kind] += 1
         return decisions
 
-    def swap(
-        self, now: float, have: Counter[str], counts: Counter[tuple[str, str]]
+    def plan_swap(
+        self,
+        now: float,
+        by_kind: Counter[str],
+        by_zone_and_kind: Counter[tuple[str, str]],
     ) -> list[Decision]:
-        """Order a cheap server in place of one on demand that stood in for it."""
-        if not self.too_dear(have) or have["cheap"] >= self.held.cheap:
+        """Order a cheap server in place of an on-demand one that substitutes for it."""
+        if (
+            not self.has_excess_on_demand(by_kind)
+            or by_kind["cheap"] >= self.peak_mix.cheap
+        ):
             return []
-        zone = self.cheap_zone(now, counts)
-        if zone is None or sum(have.values()) > self.held.total:
+        zone = self.choose_cheap_zone(now, by_zone_and_kind)
+        if zone is None or sum(by_kind.values()) > self.peak_mix.total:
             return []
         return [Order(self.pool, zone, "cheap", "swap_for_cheap")]
 
-    def too_dear(self, have: Counter[str]) -> bool:
-        """Return whether there are more servers on demand than the plan has."""
-        floor = max(self.held.on_demand, self.intention.min_on_demand)
-        return have["on_demand"] > floor
+    def has_excess_on_demand(self, by_kind: Counter[str]) -> bool:
+        """Return whether there are more on-demand servers than the plan requires."""
+        allowed = max(self.peak_mix.on_demand, self.intention.min_on_demand)
+        return by_kind["on_demand"] > allowed
 
-    def cheap_zone(
-        self, now: float, counts: Counter[tuple[str, str]]
+    def choose_cheap_zone(
+        self, now: float, by_zone_and_kind: Counter[tuple[str, str]]
     ) -> ZoneName | None:
-        """Return the zone to ask for a cheap server, if any is worth asking."""
-        open_zones = [z for z in self.zones if self.refused_until.get(z, 0.0) <= now]
-        return emptiest_zone(open_zones, "cheap", counts)
+        """Return the zone to ask for a cheap server; None while all zones back off."""
+        available_zones = [
+            z for z in self.zones if self.refused_until.get(z, 0.0) <= now
+        ]
+        return emptiest_zone(available_zones, "cheap", by_zone_and_kind)
 
-    def next_order(
-        self, now: float, have: Counter[str], counts: Counter[tuple[str, str]]
+    def choose_order(
+        self,
+        now: float,
+        by_kind: Counter[str],
+        by_zone_and_kind: Counter[tuple[str, str]],
     ) -> Order | None:
-        """Return the next server to ask for.
+        """Return the next order, or None if there is no zone or no budget for one.
 
-        A cheap one that cannot be had in any zone becomes one on demand, for as long
-        as the budget bears it: late work costs more than the difference.
+        A cheap server that no zone has is replaced by an on-demand one within the
+        budget, because late requests cost more than the difference in price.
         """
-        if have["cheap"] < self.target.cheap:
-            zone = self.cheap_zone(now, counts)
+        if by_kind["cheap"] < self.target_mix.cheap:
+            zone = self.choose_cheap_zone(now, by_zone_and_kind)
             if zone is not None:
                 return Order(self.pool, zone, "cheap", "demand")
-        zone = emptiest_zone(self.zones, "on_demand", counts)
-        if zone is None or not self.affordable(have):
+        zone = emptiest_zone(self.zones, "on_demand", by_zone_and_kind)
+        if zone is None or not self.is_affordable(by_kind):
             return None
-        reason = "demand" if have["on_demand"] < self.target.on_demand else "no_cheap"
+        reason = (
+            "demand" if by_kind["on_demand"] < self.target_mix.on_demand else "no_cheap"
+        )
         return Order(self.pool, zone, "on_demand", reason)
 
-    def affordable(self, have: Counter[str]) -> bool:
+    def is_affordable(self, by_kind: Counter[str]) -> bool:
         intention = self.intention
         if intention.budget_per_hour is None:
             return True
-        spend = (have["on_demand"] + 1) * intention.on_demand_per_hour + have[
+        spend = (by_kind["on_demand"] + 1) * intention.on_demand_per_hour + by_kind[
             "cheap"
         ] * intention.cheap_per_hour
-        floor = have["on_demand"] < intention.min_on_demand
-        return floor or spend <= intention.budget_per_hour
+        below_minimum = by_kind["on_demand"] < intention.min_on_demand
+        return below_minimum or spend <= intention.budget_per_hour
 
-    def shrink(self, view: View) -> list[Decision]:
-        """Drain one server that has not been wanted for a while."""
+    def plan_drain(self, view: View) -> list[Decision]:
+        """Drain one server if no plan within SHRINK_DELAY_S needed it."""
         now = view.now
-        if self.began is None:
-            self.began = now
-        if now - self.began < HOLD_S:
-            # A new lease holder has seen no burst yet that the fleet may be there for.
+        if self.started_at is None:
+            self.started_at = now
+        if now - self.started_at < SHRINK_DELAY_S:
+            # A new lease holder does not know which burst the fleet was sized for.
             return []
         serving = [s for s in view.servers if s.state is ServerState.SERVING]
-        have = kinds(view.servers)
-        if now - self.drained_at < DRAIN_EVERY_S or len(serving) <= self.held.total:
+        by_kind = count_by_kind(view.servers)
+        if (
+            now - self.last_drain_at < DRAIN_INTERVAL_S
+            or len(serving) <= self.peak_mix.total
+        ):
             return []
-        dear = self.too_dear(have) or not have["cheap"]
-        kind: ServerKind = "on_demand" if dear else "cheap"
-        victim = pick_victim(serving, kind, count(view.servers))
-        if victim is None:
+        drain_on_demand = self.has_excess_on_demand(by_kind) or not by_kind["cheap"]
+        kind: ServerKind = "on_demand" if drain_on_demand else "cheap"
+        server = choose_server_to_drain(
+            serving, kind, count_by_zone_and_kind(view.servers)
+        )
+        if server is None:
             return []
-        self.drained_at = now
-        return [Drain(victim.backend_id, "surplus")]
+        self.last_drain_at = now
+        return [Drain(server.backend_id, "surplus")]
 
-    def release(self, view: View) -> list[Decision]:
-        """Give back what has drained."""
+    def plan_releases(self, view: View) -> list[Decision]:
+        """Release drained servers that run no request."""
         return [
             Release(s.backend_id)
             for s in view.servers
@@ -230,22 +265,27 @@
         ]
 
 
-def kinds(servers: list[ServerView]) -> Counter[str]:
-    """Return how many servers of each kind serve or will soon."""
+def count_by_kind(servers: list[ServerView]) -> Counter[str]:
+    """Count the servers of each kind that serve or are about to."""
     return Counter(s.kind for s in servers if s.state in COUNTED)
 
 
-def count(servers: list[ServerView]) -> Counter[tuple[str, str]]:
-    """Return how many servers there are by zone and kind."""
+def count_by_zone_and_kind(servers: list[ServerView]) -> Counter[tuple[str, str]]:
+    """Count the servers that serve or are about to, by zone and kind."""
     return Counter((s.zone, s.kind) for s in servers if s.state in COUNTED)
 
 
-def pick_victim(
-    serving: list[ServerView], kind: ServerKind, counts: Counter[tuple[str, str]]
+def choose_server_to_drain(
+    serving: list[ServerView],
+    kind: ServerKind,
+    by_zone_and_kind: Counter[tuple[str, str]],
 ) -> ServerView | None:
-    """Return the server of a kind to drain: from the fullest zone, the least busy."""
+    """Return the least busy server of a kind in the zone that has the most of them.
+
+    Servers from the configuration were not ordered and are never drained.
+    """
     return max(
         (s for s in serving if s.kind == kind and s.ordered),
-        key=lambda s: (counts[s.zone, kind], -s.running, s.backend_id),
+        key=lambda s: (by_zone_and_kind[s.zone, kind], -s.running, s.backend_id),
         default=None,
     )
--- a/src/godwitmast/capacity/sizing.py
+++ b/src/godwitmast/capacity/sizing.py
@@ -1,4 +1,4 @@
-"""How many servers a forecast needs, and how they divide by kind and zone."""
+"""Number of servers for a forecast, and their split by kind and zone."""
 
 import math
 from collections import Counter
@@ -10,20 +10,20 @@
 from godwitmast.types import ZoneName
 
 USE = 0.70
-"""Share of a server's whole batch that a plan counts on. At a full batch the time
-between tokens is at its target with nothing left, and a second's noise queues."""
+"""Share of a server's full batch that a plan uses. At a full batch the time between
+tokens is at its target without headroom, and a second's noise makes requests queue."""
 
-HIGH_USE = 0.90
-"""The same for the higher tiers after a zone was lost: they go before all else, so
-what is left of the servers' time is the lower tiers' loss."""
+HIGH_TIER_UTILISATION = 0.90
+"""The same for the high tiers alone after the loss of a zone. It may be higher, because
+they have priority, and only lower tiers lose by it."""
 
-CATCH_UP_S = 60.0
-"""Waiting work is to be gone within this; shorter would order servers for a queue
-that the running ones clear before the new ones have started."""
+BACKLOG_CLEAR_S = 60.0
+"""Time within which the backlog is to be cleared. A shorter one would order servers for
+a queue that the running servers clear before the new ones have started."""
 
 
 class Mix(NamedTuple):
-    """How many servers of each kind."""
+    """Number of servers of each kind."""
 
     on_demand: int
     cheap: int
@@ -33,37 +33,41 @@
         return self.on_demand + self.cheap
 
 
-def servers_for(work: float, backlog: float, intention: CapacityIntention) -> int:
+def servers_needed(work: float, backlog: float, intention: CapacityIntention) -> int:
     """Return how many servers the work needs, within the intention's bounds."""
-    wanted = math.ceil((work + backlog / CATCH_UP_S) / USE - 1e-9)
-    return min(max(wanted, intention.min_servers), intention.max_servers)
+    needed = math.ceil((work + backlog / BACKLOG_CLEAR_S) / USE - 1e-9)
+    return min(max(needed, intention.min_servers), intention.max_servers)
 
 
-def divide(
+def split_by_kind(
     total: int, high_work: float, zones: int, intention: CapacityIntention
 ) -> Mix:
-    """Return the most cheap servers that the intention and a lost zone allow.
+    """Split servers by kind, with as many cheap ones as a zone loss permits.
 
-    The load: a whole zone of cheap servers goes at once at a peak. Without the floor
-    its symptom is that the top tiers queue for as long as a start takes. It is enough
-    because the survivors can carry the high tiers' forecast before any new one starts.
+    All cheap servers of a zone can be evicted at once, even at a peak. Without a
+    minimum of other servers, the high tiers would then queue for as long as a server
+    takes to start. So the remaining servers must carry the forecast of the high tiers
+    before any replacement has started.
     """
     cheap = round(total * intention.cheap_share)
     while cheap > 0:
         survivors = total - math.ceil(cheap / max(1, zones))
-        if survivors * HIGH_USE >= high_work:
+        if survivors * HIGH_TIER_UTILISATION >= high_work:
             break
         cheap -= 1
     return Mix(total - cheap, cheap)
 
 
-def within_budget(mix: Mix, intention: CapacityIntention) -> Mix:
-    """Return the mix cut to the budget, on-demand first, never below the minimum."""
+def cut_to_budget(mix: Mix, intention: CapacityIntention) -> Mix:
+    """Return the mix reduced to the budget, on-demand servers first.
+
+    It never goes below `min_servers`.
+    """
     if intention.budget_per_hour is None:
         return mix
     on_demand, cheap = mix
     while on_demand + cheap > intention.min_servers:
-        spend = price(Mix(on_demand, cheap), intention)
+        spend = hourly_price(Mix(on_demand, cheap), intention)
         if spend <= intention.budget_per_hour:
             break
         if on_demand > intention.min_on_demand:
@@ -75,8 +79,8 @@
     return Mix(on_demand, cheap)
 
 
-def price(mix: Mix, intention: CapacityIntention) -> float:
-    """Return what the mix costs in an hour."""
+def hourly_price(mix: Mix, intention: CapacityIntention) -> float:
+    """Return the price of the mix per hour."""
     return (
         mix.on_demand * intention.on_demand_per_hour
         + mix.cheap * intention.cheap_per_hour
@@ -86,7 +90,7 @@
 def emptiest_zone(
     zones: Iterable[ZoneName], kind: ServerKind, counts: Counter[tuple[str, str]]
 ) -> ZoneName | None:
-    """Return the zone with the fewest servers of a kind, then the fewest at all."""
+    """Return the zone with the fewest servers of a kind; ties go to the emptiest."""
     return min(
         zones,
         key=lambda zone: (
--- a/src/godwitmast/capacity/zonal.py
+++ b/src/godwitmast/capacity/zonal.py
@@ -1,18 +1,19 @@
-"""Plans how many servers of each kind each availability zone is to have, without I/O.
-
-For platforms that take the number wanted of a kind in a zone, choose themselves which
-server goes, and start one in seconds. (`planner` is for those that sell single servers
-and take minutes.)
-
-Load pattern: bursts that last about as long as a server takes to start, with zones of
-cheap servers taken away at two seconds' notice in their midst. Servers that are ordered
-when a burst shows come as it ends, so room for it has to stand ready; and room is
-affordable only as cheap servers. Without a floor on demand, the reclaim of a zone takes
-every server there, the quick streams that cannot be moved, and what they had read.
-
-A number wanted is not an order that can be counted twice: sent again, it changes
-nothing. So nothing is written down before it is sent, a lost answer is settled by
-looking at the list of servers, and a new holder of the lease starts from that list.
+"""Planner of the number of servers of each kind per availability zone, without I/O.
+
+It is for platforms that accept a desired number per zone and kind, choose themselves
+which server to remove, and start one in seconds. (`planner` is for platforms that rent
+out single servers and take minutes.)
+
+Load: bursts that last about as long as a server takes to start, while zones of cheap
+servers are reclaimed at two seconds' notice. Servers ordered at the beginning of a
+burst are ready at its end, so that headroom has to run beforehand; and only cheap
+servers make headroom affordable. Without a minimum of on-demand servers, the reclaim of
+a zone would remove every server there, with the short streams that cannot be moved and
+the prefills done for them.
+
+A desired number has no effect when sent twice. So it needs no record before it is sent,
+a lost answer is settled by the list of servers, and a new lease holder starts from that
+list.
 """
 
 import math
@@ -24,58 +25,61 @@
 from godwitmast.capacity.messages import OrderOutcome, ServerKind
 from godwitmast.types import PoolName, ZoneName
 
-OPEN_EACH = 5.0
-"""Open requests of all callers that one server is planned for. An engine that reads a
-prompt holds up every stream beside it, long before its batch is full."""
+OPEN_REQUESTS_PER_SERVER = 5.0
+"""Open requests of all callers that one server is planned for. The prefill of one
+prompt delays every stream on its engine, long before the batch is full."""
 
-START_ROOM = 2.0
-"""The first plan as a part of the fleet that was found, whose operators sized it without
-servers that may be taken away. A crash and a reclaim in one burst must leave enough."""
+INITIAL_HEADROOM = 2.0
+"""Ratio of the first plan to the fleet found at the start, which operators sized
+without servers that may be reclaimed. It has to bear a crash and a reclaim in one
+burst."""
 
 ON_DEMAND_SHARE = 0.25
-"""The servers on demand, as a part of all; each zone has one at least, so that one that
-is cut off or reclaimed still serves."""
+"""Share of on-demand servers. Each zone has at least one, so that a zone that is
+partitioned or reclaimed still serves."""
 
-OBSERVE_S = 3.0
-"""For how long a new holder only watches the list. Servers that start, or that come back
+OBSERVATION_S = 3.0
+"""How long a new lease holder only reads the list. Servers that start, or that return
 after an outage of the table, enter it over two heartbeats; a plan made from the first
-two of five gave the other three back as the first callers came."""
+two of five servers would remove the other three just as the first callers arrive."""
 
-HOLD_S = 30.0
-"""For how long the highest demand counts: bursts follow each other in less, and a
-server that is given back takes with it what it has read."""
+DEMAND_WINDOW_S = 30.0
+"""How long the highest demand counts. Bursts follow each other at shorter intervals,
+and a server that is removed loses its cached prompts."""
 
-GROW_ABOVE, SHRINK_BELOW = 1.35, 0.7
-"""Between these parts of the present plan it stays as it is. Open requests swing by that
-much from one look to the next, and each server that goes and comes again is paid for
-while it starts, and reads all shared parts anew."""
+GROW_RATIO, SHRINK_RATIO = 1.35, 0.7
+"""The plan changes only if the needed servers are above or below these multiples of it.
+Open requests vary that much between two rounds, and each server that is removed and
+ordered again is paid for while it starts, and has to prefill all shared prefixes
+again."""
 
-REFUSED_S = 3.0
-"""For how long a zone that had no cheap server is not asked again. Zones that were
-reclaimed stay dry for some ten seconds; asking in each round would cost ten calls."""
+REFUSAL_BACKOFF_S = 3.0
+"""How long a zone is not asked for cheap servers after it had none. Reclaimed zones
+have none for some ten seconds; asking in each round would cost ten calls."""
 
-FAILED_S = 2.0
-"""For how long a number is not sent again that met an error or no answer: each call is
-paid for, and an interface that is down stays so for seconds."""
+FAILURE_BACKOFF_S = 2.0
+"""How long a number is not sent again after an error or a missing answer. Each call is
+paid for, and a platform API that fails stays down for seconds."""
 
-SETTLE_STARTS = 1.5
-"""A number that was sent counts as lost if the list does not show it after this many
-starts: one start, and half of one for the list to tell."""
+LOST_ORDER_STARTS = 1.5
+"""Number of start times after which an order counts as lost if the list does not show
+it: one for the start, and half of one for the list to be updated."""
 
 LIST_LAG_S = 2.0
-"""What the list of servers may be behind besides: a heartbeat and its way here."""
+"""Additional lag of the list of servers: a heartbeat, and its transmission."""
 
 
-Have = Counter[tuple[ZoneName, ServerKind]]
-"""The servers of a pool that do not leave, by zone and kind."""
+ServerCounts = Counter[tuple[ZoneName, ServerKind]]
+"""Servers of a pool that are not leaving, by zone and kind."""
 
 
 class ZonalLimits(NamedTuple):
-    """What may be ordered of a pool's servers, as the operators' configuration says.
+    """Limits on the servers of a pool, from the operators' configuration.
 
-    `least` and `most` are per zone, of both kinds together; `start_s` is the time from
-    an order to a server that serves. A cheap server costs `cheap_price` of another one,
-    and each zone's servers `zone_prices` of what they cost elsewhere.
+    `least` and `most` are the numbers per zone, of both kinds together; `start_s` is
+    the time from an order to a serving server. `cheap_price` is the price of a cheap
+    server relative to an on-demand one, and `zone_prices` are the relative prices of
+    the zones.
     """
 
     least: int
@@ -86,7 +90,7 @@
 
 
 class ListedServer(NamedTuple):
-    """A server of the pool that the list shows."""
+    """A server of the pool in the platform's list."""
 
     zone: ZoneName
     kind: ServerKind
@@ -94,7 +98,7 @@
 
 
 class Wanted(NamedTuple):
-    """The number of servers of a kind that a zone is to have."""
+    """The desired number of servers of a kind in a zone."""
 
     zone: ZoneName
     kind: ServerKind
@@ -102,8 +106,8 @@
 
 
 @dataclass(slots=True)
-class Sent:
-    """A number that was sent last, and when."""
+class SentCount:
+    """The number that was sent last, and the time."""
 
     number: int
     at: float
@@ -111,139 +115,157 @@
 
 @dataclass
 class ZonalPlanner:
-    """The plan for one pool, made anew each round from the newest list and demand."""
+    """Planner for one pool; it computes a new plan each round from list and demand."""
 
     pool: PoolName
     limits: ZonalLimits
-    total: int = 0
-    began: float | None = None
-    demands: deque[tuple[float, float]] = field(default_factory=deque)
-    sent: dict[tuple[ZoneName, ServerKind], Sent] = field(default_factory=dict)
-    not_before: dict[tuple[ZoneName, ServerKind], float] = field(default_factory=dict)
+    planned_total: int = 0
+    started_at: float | None = None
+    recent_demand: deque[tuple[float, float]] = field(default_factory=deque)
+    last_sent: dict[tuple[ZoneName, ServerKind], SentCount] = field(
+        default_factory=dict
+    )
+    retry_at: dict[tuple[ZoneName, ServerKind], float] = field(default_factory=dict)
     zones: set[ZoneName] = field(default_factory=set)
-    """Where servers of the pool were seen; elsewhere it may not run at all."""
+    """Zones where servers of the pool were listed; it may not run in others."""
 
     def step(
         self,
         servers: Iterable[ListedServer],
         open_requests: float | None,
         now: float,
-        closed: Collection[ZoneName] = (),
+        evacuated_zones: Collection[ZoneName] = (),
     ) -> list[Wanted]:
-        """Return the numbers to send now; None tells that the demand is not known.
+        """Return the numbers to send now; `open_requests` may be unknown (None).
 
-        Servers of `closed` zones get no work and are neither ordered nor given back:
-        they are needed again as soon as their zone is.
+        Servers of evacuated zones get no requests, but are neither ordered nor removed:
+        they are needed again as soon as their zone is back.
         """
         servers = list(servers)
         self.zones |= {s.zone for s in servers} & self.limits.zone_prices.keys()
-        have = Counter((s.zone, s.kind) for s in servers if not s.leaving)
-        if not have:
-            # A list without a server says less of the fleet than of the list.
+        counts = Counter((s.zone, s.kind) for s in servers if not s.leaving)
+        if not counts:
+            # An empty list is more likely a fault of the list than an empty fleet.
             return []
-        if self.began is None:
-            self.began = now
-        if now - self.began <= OBSERVE_S:
-            self.demands.append((now, found_fleet(have)))
+        if self.started_at is None:
+            self.started_at = now
+        if now - self.started_at <= OBSERVATION_S:
+            self.recent_demand.append((now, estimate_found_demand(counts)))
             return []
         if open_requests is not None:
-            self.demands.append((now, open_requests / OPEN_EACH))
-        while self.demands[0][0] < now - HOLD_S and len(self.demands) > 1:
-            self.demands.popleft()
-        self.resize()
-        is_new = now - self.began < HOLD_S
+            self.recent_demand.append((now, open_requests / OPEN_REQUESTS_PER_SERVER))
+        while (
+            self.recent_demand[0][0] < now - DEMAND_WINDOW_S
+            and len(self.recent_demand) > 1
+        ):
+            self.recent_demand.popleft()
+        self.update_total()
+        is_new = now - self.started_at < DEMAND_WINDOW_S
         return [
             item
-            for zone, (on_demand, cheap) in self.spread(closed).items()
-            for item in self.for_zone(zone, on_demand, cheap, have, is_new)
-            if self.is_due(item, have, now)
+            for zone, (on_demand, cheap) in self.plan_zones(evacuated_zones).items()
+            for item in self.plan_zone(zone, on_demand, cheap, counts, is_new)
+            if self.is_due(item, counts, now)
         ]
 
-    def resize(self) -> None:
-        """Follow the highest demand of late, by large steps only.
+    def update_total(self) -> None:
+        """Follow the highest demand in the window, but only in large steps.
 
-        The first plan is a step from nothing. What a new holder finds counts as demand,
-        but is no plan by itself: it may be what a crash and a reclaim have left.
+        The first plan is a step from zero. The fleet that a new holder finds counts as
+        demand rather than as a plan, because it may be what a crash and a reclaim have
+        left.
         """
-        needed = self.within_limits(max(demand for _, demand in self.demands))
-        if not SHRINK_BELOW * self.total <= needed <= GROW_ABOVE * self.total:
-            self.total = needed
-
-    def within_limits(self, servers: float) -> int:
-        """Return a whole number of servers that may be ordered."""
+        needed = self.clamp_to_limits(max(demand for _, demand in self.recent_demand))
+        if (
+            not SHRINK_RATIO * self.planned_total
+            <= needed
+            <= GROW_RATIO * self.planned_total
+        ):
+            self.planned_total = needed
+
+    def clamp_to_limits(self, servers: float) -> int:
+        """Round up to whole servers, within the limits of all zones."""
         zones = len(self.zones)
         wanted = math.ceil(servers)
         return min(max(wanted, self.limits.least * zones), self.limits.most * zones)
 
-    def spread(
-        self, closed: Collection[ZoneName] = ()
+    def plan_zones(
+        self, evacuated_zones: Collection[ZoneName] = ()
     ) -> dict[ZoneName, tuple[int, int]]:
-        """Return how many on demand and cheap each zone gets, the lowest price first."""
+        """Return the on-demand and cheap servers per zone; remainders go to cheap
+        zones."""
         prices = self.limits.zone_prices
-        zones = sorted(self.zones - set(closed), key=lambda zone: (prices[zone], zone))
-        on_demand = max(len(zones), round(ON_DEMAND_SHARE * self.total))
+        zones = sorted(
+            self.zones - set(evacuated_zones), key=lambda zone: (prices[zone], zone)
+        )
+        on_demand = max(len(zones), round(ON_DEMAND_SHARE * self.planned_total))
         if self.limits.cheap_price >= 1:
-            on_demand = self.total
+            on_demand = self.planned_total
         plan = {}
-        for place, zone in enumerate(zones):
-            zone_total = max(1, share(self.total, place, len(zones)))
-            zone_on_demand = min(zone_total, share(on_demand, place, len(zones)))
+        for index, zone in enumerate(zones):
+            zone_total = max(1, even_share(self.planned_total, index, len(zones)))
+            zone_on_demand = min(zone_total, even_share(on_demand, index, len(zones)))
             plan[zone] = (zone_on_demand, zone_total - zone_on_demand)
         return plan
 
-    def for_zone(
-        self, zone: ZoneName, on_demand: int, cheap: int, have: Have, is_new: bool
+    def plan_zone(
+        self,
+        zone: ZoneName,
+        on_demand: int,
+        cheap: int,
+        counts: ServerCounts,
+        is_new: bool,
     ) -> list[Wanted]:
-        """Return the numbers for one zone on the way to its plan.
+        """Return the next numbers for one zone on the way to its plan.
 
-        One on demand goes only once the cheap ones that replace it serve, so that a
-        zone where none is to be had keeps what it has.
+        An on-demand server is removed only once the cheap ones that replace it are
+        listed, so that a zone without cheap servers keeps those it has.
         """
-        on_demand_now, cheap_now = have[zone, "on_demand"], have[zone, "cheap"]
+        on_demand_now, cheap_now = counts[zone, "on_demand"], counts[zone, "cheap"]
         room = max(0, self.limits.most - max(on_demand_now, on_demand))
         if is_new:
-            # This holder has not seen the burst yet that these servers may be there for.
+            # A new holder does not know which burst these servers were ordered for.
             cheap = max(cheap, cheap_now)
-        cheap_first = min(cheap, room)
-        if cheap_now < cheap_first:
+        cheap_target = min(cheap, room)
+        if cheap_now < cheap_target:
             on_demand = max(on_demand, on_demand_now)
         return [
-            Wanted(zone, "cheap", cheap_first),
+            Wanted(zone, "cheap", cheap_target),
             Wanted(zone, "on_demand", on_demand),
         ]
 
-    def is_due(self, item: Wanted, have: Have, now: float) -> bool:
+    def is_due(self, item: Wanted, counts: ServerCounts, now: float) -> bool:
         """Return whether a number has to be sent, or sent again."""
-        if now < self.not_before.get((item.zone, item.kind), 0.0):
+        if now < self.retry_at.get((item.zone, item.kind), 0.0):
             return False
-        last = self.sent.get((item.zone, item.kind))
+        last = self.last_sent.get((item.zone, item.kind))
         if last is None or last.number != item.number:
-            return have[item.zone, item.kind] != item.number
-        if have[item.zone, item.kind] == item.number:
+            return counts[item.zone, item.kind] != item.number
+        if counts[item.zone, item.kind] == item.number:
             return False
-        return now - last.at > SETTLE_STARTS * self.limits.start_s + LIST_LAG_S
+        return now - last.at > LOST_ORDER_STARTS * self.limits.start_s + LIST_LAG_S
 
-    def was_sent(self, item: Wanted, outcome: OrderOutcome, now: float) -> None:
-        """Take what came of sending a number."""
-        place = (item.zone, item.kind)
+    def record_outcome(self, item: Wanted, outcome: OrderOutcome, now: float) -> None:
+        """Record the outcome of sending a number."""
+        key = (item.zone, item.kind)
         match outcome:
             case OrderOutcome.DONE:
-                self.sent[place] = Sent(item.number, now)
+                self.last_sent[key] = SentCount(item.number, now)
             case OrderOutcome.UNAVAILABLE:
-                self.not_before[place] = now + REFUSED_S
+                self.retry_at[key] = now + REFUSAL_BACKOFF_S
             case _:
-                self.not_before[place] = now + FAILED_S
+                self.retry_at[key] = now + FAILURE_BACKOFF_S
 
 
-def found_fleet(have: Have) -> float:
-    """Return what the fleet that a new holder finds says of the demand.
+def estimate_found_demand(counts: ServerCounts) -> float:
+    """Return the demand, in servers, that the fleet found by a new holder implies.
 
-    One with cheap servers was planned by an earlier holder, with its room.
+    A fleet with cheap servers was planned by an earlier holder and includes headroom.
     """
-    planned = any(kind == "cheap" for _, kind in have)
-    return have.total() * (1.0 if planned else START_ROOM)
+    has_cheap = any(kind == "cheap" for _, kind in counts)
+    return counts.total() * (1.0 if has_cheap else INITIAL_HEADROOM)
 
 
-def share(total: int, place: int, parts: int) -> int:
-    """Return one part of a total that is divided evenly, the rest to the first ones."""
-    return total // parts + (place < total % parts)
+def even_share(total: int, index: int, parts: int) -> int:
+    """Return one part of an evenly divided total; the first parts get the remainder."""
+    return total // parts + (index < total % parts)
--- a/src/godwitmast/capacity/zonal_duty.py
+++ b/src/godwitmast/capacity/zonal_duty.py
@@ -1,4 +1,4 @@
-"""Sends the numbers of servers that are wanted, for as long as the lease is held."""
+"""Planning rounds under the lease that send each zone's desired number of servers."""
 
 from collections.abc import Callable, Collection, Iterable, Mapping
 from dataclasses import dataclass, field
@@ -18,36 +18,36 @@
 from godwitmast.types import PoolName, ZoneName
 
 ROUND_S = 0.5
-"""How often the list is looked at: an eighth of the shortest start that was met."""
+"""Interval between two rounds: an eighth of the shortest start time of a server."""
 
 
-class Ordering(Protocol):
-    """Where the number of servers of a kind in a zone is ordered."""
+class ServerOrderer(Protocol):
+    """Interface for ordering a number of servers of a kind in a zone."""
 
     async def order_servers(
         self, pool: PoolName, wanted: Wanted, fence: int
     ) -> OrderOutcome:
-        """Order a number; raise PlatformError when it is not known what came of it."""
+        """Order a number of servers; raise PlatformError on failure or uncertainty."""
 
 
 def open_requests(loads: Iterable[Mapping[str, Any]], pool: PoolName) -> float | None:
-    """Return a pool's open requests by what the entries said; None if none said any."""
-    told = [load[OPEN] for load in loads if OPEN in load]
-    return sum(row.get(pool, 0) for row in told) if told else None
+    """Return a pool's open requests over all entries; None if no entry reported any."""
+    reports = [load[OPEN] for load in loads if OPEN in load]
+    return sum(row.get(pool, 0) for row in reports) if reports else None
 
 
 @dataclass
 class ZonalDuty:
-    """Keeps each pool's servers at the numbers that its plan wants."""
+    """Keeps the servers of each pool at the planned numbers while the lease is held."""
 
-    platform: Ordering
+    platform: ServerOrderer
     clock: Clock
     limits: Callable[[], Mapping[PoolName, ZonalLimits]]
     listed: Callable[[], Mapping[str, Backend]]
     open_requests: Callable[[PoolName], float | None]
     registry: CollectorRegistry | None = None
     order_timeout_s: float = 1.5
-    closed: Callable[[], Collection[ZoneName]] = frozenset
+    evacuated_zones: Callable[[], Collection[ZoneName]] = frozenset
     name: str = "orders"
     planners: dict[PoolName, ZonalPlanner] = field(default_factory=dict)
 
@@ -60,15 +60,15 @@
         )
 
     async def run(self, guard: Guard) -> None:
-        """Plan and order each round, until cancelled."""
+        """Run a planning round for each pool at each interval, until cancelled."""
         self.planners = {}
         while True:
             for planner in self.update_planners():
-                await self.round(planner, guard)
+                await self.run_round(planner, guard)
             await anyio.sleep(ROUND_S)
 
     def update_planners(self) -> list[ZonalPlanner]:
-        """Return a planner for each pool whose servers may be ordered."""
+        """Return one planner for each pool whose servers may be ordered."""
         limits = self.limits()
         self.planners = {p: v for p, v in self.planners.items() if p in limits}
         for pool, allowed in limits.items():
@@ -76,7 +76,7 @@
             planner.limits = allowed
         return list(self.planners.values())
 
-    async def round(self, planner: ZonalPlanner, guard: Guard) -> None:
+    async def run_round(self, planner: ZonalPlanner, guard: Guard) -> None:
         servers = [
             ListedServer(ZoneName(item.zone), item.kind, item.leaving)
             for item in self.listed().values()
@@ -84,14 +84,14 @@
         ]
         demand = self.open_requests(planner.pool)
         now = self.clock.now()
-        for wanted in planner.step(servers, demand, now, self.closed()):
+        for wanted in planner.step(servers, demand, now, self.evacuated_zones()):
             outcome = await self.send(planner.pool, wanted, guard)
             if outcome is OrderOutcome.STALE:
                 return
-            planner.was_sent(wanted, outcome, self.clock.now())
+            planner.record_outcome(wanted, outcome, self.clock.now())
 
     async def send(self, pool: PoolName, wanted: Wanted, guard: Guard) -> OrderOutcome:
-        """Send a number while the lease is held, and say what came of it."""
+        """Send a number if the lease is held, and return the outcome."""
         fence = guard.fence_if_held(self.clock.now(), self.clock.wall())
         if fence is None:
             return OrderOutcome.STALE
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -17,8 +17,18 @@
     Undrain,
     View,
 )
-from godwitmast.capacity.planner import DRAIN_EVERY_S, HOLD_S, REFUSED_S, Planner
-from godwitmast.capacity.sizing import HIGH_USE, divide, servers_for, within_budget
+from godwitmast.capacity.planner import (
+    DRAIN_INTERVAL_S,
+    REFUSAL_BACKOFF_S,
+    SHRINK_DELAY_S,
+    Planner,
+)
+from godwitmast.capacity.sizing import (
+    HIGH_TIER_UTILISATION,
+    cut_to_budget,
+    servers_needed,
+    split_by_kind,
+)
 from godwitmast.config.document import CapacityIntention
 from godwitmast.load.fleet_model import STEP_S
 from godwitmast.load.moves import play_moves
@@ -91,20 +101,20 @@
 def test_losing_the_largest_cheap_zone_leaves_room_for_the_high_tiers(
     total: int, high: float
 ) -> None:
-    mix = divide(total, high, 3, INTENTION._replace(cheap_share=1.0))
+    mix = split_by_kind(total, high, 3, INTENTION._replace(cheap_share=1.0))
     assert mix.total == total
     survivors = total - math.ceil(mix.cheap / 3)
-    assert mix.cheap == 0 or survivors * HIGH_USE >= high
+    assert mix.cheap == 0 or survivors * HIGH_TIER_UTILISATION >= high
 
 
 def test_a_server_goes_only_after_it_was_not_wanted_for_a_while() -> None:
     planner = make_planner()
     planner.step(View(0.0, demand(3.0), fleet(2, 3)))
-    early = steady(planner, View(10.0, demand(0.5), fleet(2, 3)), HOLD_S - 100)
+    early = steady(planner, View(10.0, demand(0.5), fleet(2, 3)), SHRINK_DELAY_S - 100)
     assert not early
-    late = steady(planner, View(HOLD_S, demand(0.5), fleet(2, 3)), 300)
+    late = steady(planner, View(SHRINK_DELAY_S, demand(0.5), fleet(2, 3)), 300)
     drains = [d for d in late if isinstance(d, Drain)]
-    assert 1 <= len(drains) <= 300 / DRAIN_EVERY_S
+    assert 1 <= len(drains) <= 300 / DRAIN_INTERVAL_S
 
 
 def test_noise_moves_the_fleet_once_at_most() -> None:
@@ -161,13 +171,13 @@
     view = View(1.0, demand(3.0), fleet(2, 0))
     decided = orders(planner.step(view))
     assert [o.kind for o in decided] == ["on_demand"]
-    later = orders(planner.step(view._replace(now=REFUSED_S + 1)))
+    later = orders(planner.step(view._replace(now=REFUSAL_BACKOFF_S + 1)))
     assert later[0].kind == "cheap"
 
 
 def test_the_budget_cuts_the_plan_but_never_below_the_minimum() -> None:
     poor = INTENTION._replace(budget_per_hour=0.1)
-    mix = within_budget(divide(10, 1.0, 3, poor), poor)
+    mix = cut_to_budget(split_by_kind(10, 1.0, 3, poor), poor)
     assert mix.total == poor.min_servers
 
 
@@ -192,10 +202,12 @@
     trend = Trend(1.0)
     for second in range(10, 600, 10):
         trend.observe(1.0 + second / 300, float(second))
-    assert trend.at(180.0, 0.0) == pytest.approx(1.0 + (590 + 180) / 300, rel=0.1)
+    assert trend.extrapolate(180.0, 0.0) == pytest.approx(
+        1.0 + (590 + 180) / 300, rel=0.1
+    )
     for second in range(600, 900, 10):
         trend.observe(3.0 - (second - 600) / 300, float(second))
-    assert trend.at(180.0, 0.0) == pytest.approx(trend.level)
+    assert trend.extrapolate(180.0, 0.0) == pytest.approx(trend.level)
 
 
 def test_yesterdays_evening_is_expected_today() -> None:
@@ -205,12 +217,12 @@
     for step in range(0, before_the_evening, 30):
         evening = 18 * 3600 <= step % 86_400 < 22 * 3600
         forecast.observe(name, 4.0 if evening else 1.0, float(step), float(step))
-    assert forecast.expect(name, before_the_evening) == pytest.approx(4.0, rel=0.05)
+    assert forecast.predict(name, before_the_evening) == pytest.approx(4.0, rel=0.05)
 
 
 def test_bounds_of_the_intention_hold_whatever_the_work() -> None:
-    assert servers_for(0.0, 0.0, INTENTION) == INTENTION.min_servers
-    assert servers_for(1e6, 0.0, INTENTION) == INTENTION.max_servers
+    assert servers_needed(0.0, 0.0, INTENTION) == INTENTION.min_servers
+    assert servers_needed(1e6, 0.0, INTENTION) == INTENTION.max_servers
 
 
 def test_a_servers_speed_in_the_plan_is_the_engine_models() -> None:
--- a/tests/test_capacity_orders.py
+++ b/tests/test_capacity_orders.py
@@ -14,7 +14,7 @@
 from godwitmast.capacity.duty import CapacityDuty
 from godwitmast.capacity.fleet import SERVERS_KEY, FleetRow, load_fleet, merge_backends
 from godwitmast.capacity.messages import Drain, Order, Release, ServerState
-from godwitmast.capacity.orders import DRAIN_LEAST_S, SILENT_DRAIN_S, OrderBook
+from godwitmast.capacity.orders import MIN_DRAIN_S, SILENT_DRAIN_TIMEOUT_S, OrderBook
 from godwitmast.clock import ManualClock
 from godwitmast.config.document import CapacityIntention
 from godwitmast.config.follower import ConfigFollower
@@ -71,7 +71,7 @@
             self.clock.advance(5.0)
             row = DemandMeter().dump("x", {}) | {"number": number}
             self.platform.table.transact({}, {"demand/e1": row})
-            await self.duty.round(self.guard)
+            await self.duty.run_round(self.guard)
 
     @property
     def placed(self) -> list[str]:
@@ -241,36 +241,38 @@
 
 def test_a_starting_server_is_capacity_but_gets_no_work() -> None:
     book = OrderBook()
-    row = book.publish([shown("s1", "starting")])
+    row = book.make_row([shown("s1", "starting")])
     assert row.servers == {}
-    [view] = book.view("m", [shown("s1", "starting")], {}, 0.0)
+    [view] = book.list_servers("m", [shown("s1", "starting")], {}, 0.0)
     assert view.state is ServerState.STARTING
 
 
 def test_an_order_that_the_platform_does_not_show_yet_counts_once() -> None:
     book = OrderBook()
     order = Order(PoolName("m"), ZoneName("a"), "cheap", "demand")
-    intent = book.intend(order, fence=3)
+    intent = book.make_intent(order, fence=3)
     assert intent is not None
-    book.recorded(intent)
-    assert [v.state for v in book.view("m", [], {}, 0.0)] == [ServerState.ORDERED]
+    book.add_pending(intent)
+    assert [v.state for v in book.list_servers("m", [], {}, 0.0)] == [
+        ServerState.ORDERED
+    ]
     fleet = [shown("s1", "starting", intent.intent_id)]
-    assert len(book.view("m", fleet, {}, 0.0)) == 1
+    assert len(book.list_servers("m", fleet, {}, 0.0)) == 1
 
 
 def test_a_drain_waits_for_the_entries_then_for_the_requests() -> None:
     book = OrderBook()
-    book.published = book.publish([shown("s1")])
-    book.published = book.drained(Drain(BackendId("s1"), "surplus"), wall=100.0)
+    book.published = book.make_row([shown("s1")])
+    book.published = book.set_draining(Drain(BackendId("s1"), "surplus"), wall=100.0)
     assert book.published.servers["s1"].leaving
-    after = 100.0 + DRAIN_LEAST_S
-    book.running = {"s1": 0}
+    after = 100.0 + MIN_DRAIN_S
+    book.running_requests = {"s1": 0}
     assert book.open_requests("s1", after - 1) == 1
     assert book.open_requests("s1", after) == 0
-    book.running = {"s1": None}
+    book.running_requests = {"s1": None}
     assert book.open_requests("s1", after) == 1
-    assert book.open_requests("s1", 101.0 + SILENT_DRAIN_S) == 0
-    assert book.publish([shown("s1")]).servers["s1"].leaving
+    assert book.open_requests("s1", 101.0 + SILENT_DRAIN_TIMEOUT_S) == 0
+    assert book.make_row([shown("s1")]).servers["s1"].leaving
 
 
 def test_a_release_names_its_order_and_goes_out_once() -> None:
@@ -279,24 +281,24 @@
     handed the same server out under a new order, which the release must not end.
     """
     book = OrderBook()
-    book.published = book.publish([shown("s1", order="1-1")])
-    intent = book.intend(Release(BackendId("s1")), fence=1)
+    book.published = book.make_row([shown("s1", order="1-1")])
+    intent = book.make_intent(Release(BackendId("s1")), fence=1)
     assert intent is not None
     assert intent.order["of_order"] == "1-1"
-    book.recorded(intent)
-    assert book.intend(Release(BackendId("s1")), fence=1) is None
+    book.add_pending(intent)
+    assert book.make_intent(Release(BackendId("s1")), fence=1) is None
 
 
 def test_a_row_of_unknown_outcome_never_shares_its_number() -> None:
     book = OrderBook()
-    lost = book.publish([shown("s1")])
-    book.unsure = True
-    assert book.publish([]).number > lost.number
+    lost = book.make_row([shown("s1")])
+    book.is_write_uncertain = True
+    assert book.make_row([]).number > lost.number
 
 
 def test_the_operators_own_servers_count_and_are_never_drained() -> None:
     document = parse_document(dev_document(["http://x"], "http://y"))
-    [view] = OrderBook().view(MODEL, [], document.backends, 0.0)
+    [view] = OrderBook().list_servers(MODEL, [], document.backends, 0.0)
     assert view.state is ServerState.SERVING
     assert not view.ordered
     merged = merge_backends(document.backends, FleetRow(1, {}))
@@ -330,4 +332,4 @@
     book.take({"demand/e": (1, old.dump("i1", {}))}, 0.0)
     new.arrived(key, 1200)
     book.take({"demand/e": (2, new.dump("i2", {}))}, 10.0)
-    assert book.grown[key].requests == 1
+    assert book.increments[key].requests == 1
--- a/tests/test_zonal.py
+++ b/tests/test_zonal.py
@@ -4,10 +4,10 @@
 
 from godwitmast.capacity.messages import OrderOutcome, ServerKind
 from godwitmast.capacity.zonal import (
-    HOLD_S,
-    OBSERVE_S,
-    OPEN_EACH,
-    REFUSED_S,
+    DEMAND_WINDOW_S,
+    OBSERVATION_S,
+    OPEN_REQUESTS_PER_SERVER,
+    REFUSAL_BACKOFF_S,
     ListedServer,
     Wanted,
     ZonalLimits,
@@ -71,7 +71,7 @@
         for item in self.planner.step(servers, open_requests, self.now, self.closed):
             self.sent.append(item)
             outcome = self.take(item)
-            self.planner.was_sent(item, outcome, self.now)
+            self.planner.record_outcome(item, outcome, self.now)
 
     def take(self, item: Wanted) -> OrderOutcome:
         place = (item.zone, item.kind)
@@ -122,9 +122,9 @@
     market.sent.clear()
     market.play(10, open_requests=45)
     assert market.counts[B, "on_demand"] >= 1
-    assert 1 <= len(market.sent) <= 10 / REFUSED_S + 1
+    assert 1 <= len(market.sent) <= 10 / REFUSAL_BACKOFF_S + 1
     market.dry.clear()
-    market.play(REFUSED_S + LIMITS.start_s + 1, open_requests=45)
+    market.play(REFUSAL_BACKOFF_S + LIMITS.start_s + 1, open_requests=45)
     assert market.counts[B, "cheap"] == 3
 
 
@@ -132,7 +132,7 @@
     market = Market(each=1)
     market.play(20, open_requests=0)
     assert market.total == 6
-    market.play(10, open_requests=9 * OPEN_EACH)
+    market.play(10, open_requests=9 * OPEN_REQUESTS_PER_SERVER)
     assert market.total == 9
     market.play(10, open_requests=1000)
     assert market.total == 18
@@ -143,10 +143,10 @@
     """Bursts ten seconds apart are served by the same servers."""
     market = Market(each=1)
     for _ in range(4):
-        market.play(9, open_requests=9 * OPEN_EACH)
-        market.play(HOLD_S / 3, open_requests=5)
+        market.play(9, open_requests=9 * OPEN_REQUESTS_PER_SERVER)
+        market.play(DEMAND_WINDOW_S / 3, open_requests=5)
         assert market.total == 9
-    market.play(HOLD_S + 5, open_requests=5)
+    market.play(DEMAND_WINDOW_S + 5, open_requests=5)
     assert market.total == 3
 
 
@@ -155,14 +155,14 @@
     market.play(40, open_requests=45)
     market.sent.clear()
     for swing in (43, 38, 45, 36, 44):
-        market.play(HOLD_S / 2, open_requests=swing)
+        market.play(DEMAND_WINDOW_S / 2, open_requests=swing)
     assert market.sent == []
 
 
 def test_lost_order_is_sent_again() -> None:
     """An order's answer came, and the platform forgot it: the list never shows it."""
     market = Market()
-    market.play(OBSERVE_S + 2 * ROUND_S, open_requests=0)
+    market.play(OBSERVATION_S + 2 * ROUND_S, open_requests=0)
     assert market.coming
     market.coming.clear()
     market.sent.clear()
@@ -199,7 +199,7 @@
     """
     planner = ZonalPlanner(PoolName("lm"), LIMITS)
     assert planner.step([], 40.0, 0.0) == []
-    assert planner.total == 0
+    assert planner.planned_total == 0
 
 
 def test_list_that_fills_slowly_gives_no_server_back() -> None:
@@ -238,7 +238,7 @@
     market.counts[A, "cheap"] = market.counts[B, "cheap"] = 0
     market.planner = ZonalPlanner(PoolName("lm"), LIMITS)
     market.sent.clear()
-    market.play(OBSERVE_S + LIMITS.start_s + 4, open_requests=40)
+    market.play(OBSERVATION_S + LIMITS.start_s + 4, open_requests=40)
     assert market.total >= 8
     assert not [w for w in market.sent if w.zone == C]
 
@@ -254,7 +254,9 @@
     assert market.total == 12
     before = market.counts.copy()
     market.planner = ZonalPlanner(PoolName("lm"), LIMITS)
-    market.play(OBSERVE_S + LIMITS.start_s + 4, open_requests=14 * OPEN_EACH)
+    market.play(
+        OBSERVATION_S + LIMITS.start_s + 4, open_requests=14 * OPEN_REQUESTS_PER_SERVER
+    )
     assert market.total == 14
     assert all(market.counts[place] >= number for place, number in before.items())
 
--- a/tests/test_zonal_duty.py
+++ b/tests/test_zonal_duty.py
@@ -9,7 +9,12 @@
 from fakes import FakeGuard
 from godwitmast.capacity.demand import OPEN
 from godwitmast.capacity.messages import OrderOutcome
-from godwitmast.capacity.zonal import FAILED_S, OBSERVE_S, Wanted, ZonalLimits
+from godwitmast.capacity.zonal import (
+    FAILURE_BACKOFF_S,
+    OBSERVATION_S,
+    Wanted,
+    ZonalLimits,
+)
 from godwitmast.capacity.zonal_duty import ZonalDuty, open_requests
 from godwitmast.clock import ManualClock
 from godwitmast.config.document import Backend
@@ -67,7 +72,7 @@
         self.clock.advance(after_s)
         self.platform.taken.clear()
         for planner in self.duty.update_planners():
-            await self.duty.round(planner, self.lease)
+            await self.duty.run_round(planner, self.lease)
         return list(self.platform.taken)
 
 
@@ -83,7 +88,7 @@
 
 
 async def test_holder_sends_the_number_with_its_fence(orders: Orders) -> None:
-    assert await orders.round(OBSERVE_S + 0.1) == [(CHEAP, 7)]
+    assert await orders.round(OBSERVATION_S + 0.1) == [(CHEAP, 7)]
     assert await orders.round(0.5) == []
 
 
@@ -93,7 +98,7 @@
     A successor gives orders by then. The lease is asked in the last step before each.
     """
     orders.lease.fence = None
-    assert await orders.round(OBSERVE_S + 0.1) == []
+    assert await orders.round(OBSERVATION_S + 0.1) == []
 
 
 @pytest.mark.parametrize(
@@ -103,10 +108,10 @@
     orders: Orders, error: PlatformError
 ) -> None:
     orders.platform.fails = error
-    assert await orders.round(OBSERVE_S + 0.1) == [(CHEAP, 7)]
+    assert await orders.round(OBSERVATION_S + 0.1) == [(CHEAP, 7)]
     orders.platform.fails = None
     assert await orders.round(0.5) == []
-    assert await orders.round(FAILED_S) == [(CHEAP, 7)]
+    assert await orders.round(FAILURE_BACKOFF_S) == [(CHEAP, 7)]
     assert await orders.round(0.5) == []
 
 
@@ -115,16 +120,16 @@
 ) -> None:
     orders.platform.hangs = True
     with anyio.fail_after(5):
-        await orders.round(OBSERVE_S + 0.1)
+        await orders.round(OBSERVATION_S + 0.1)
     orders.platform.hangs = False
-    assert await orders.round(FAILED_S) == [(CHEAP, 7)]
+    assert await orders.round(FAILURE_BACKOFF_S) == [(CHEAP, 7)]
 
 
 async def test_pool_that_may_no_longer_be_ordered_is_left_alone(
     orders: Orders,
 ) -> None:
     orders.duty.limits = dict
-    assert await orders.round(OBSERVE_S + 0.1) == []
+    assert await orders.round(OBSERVATION_S + 0.1) == []
 
 
 def test_demand_adds_up_what_entries_said_and_is_unknown_without_them() -> None:
