--- a/src/godwitmast/admission/limits.py
+++ b/src/godwitmast/admission/limits.py
@@ -49,7 +49,7 @@
     ) -> float:
         """Return how many seconds the team's limits delay a request; 0 if they do not.
 
-        `hold_s` is the mean time that a request of the team stays open.
+        `hold_s` is the mean service time of the request's class, None if it is unknown.
         """
         usage = self.usage(name)
         waits = [0.0]
--- a/src/godwitmast/admission/queue.py
+++ b/src/godwitmast/admission/queue.py
@@ -344,8 +344,7 @@
         queue.preemptible.pop(job.request.request_id, None)
 
     def charge(self, job: Job, queue: ClassQueue, tokens: float, now: float) -> None:
-        """Charge tokens to the team's fair share and limit, and count them as
-        served."""
+        """Charge tokens to the team's fair share and limit, and report them to peers."""
         request = job.request
         queue.fair_queue.charge(request.team, tokens)
         self.limits.charge_tokens(
--- a/src/godwitmast/capacity/orders.py
+++ b/src/godwitmast/capacity/orders.py
@@ -55,8 +55,10 @@
         self.row_number = published.number
 
     def next_row(self, servers: dict[str, PublishedServer]) -> FleetRow:
-        """Return a row with a new number, even if the last write's outcome is
-        unknown."""
+        """Return a row with a new number.
+
+        A row whose write has an unknown outcome keeps its number to itself.
+        """
         self.row_number += 1
         return FleetRow(self.row_number, servers)
 
--- a/src/godwitmast/capacity/zonal.py
+++ b/src/godwitmast/capacity/zonal.py
@@ -192,8 +192,10 @@
     def plan_zones(
         self, evacuated_zones: Collection[ZoneName] = ()
     ) -> dict[ZoneName, tuple[int, int]]:
-        """Return the on-demand and cheap servers per zone; remainders go to cheap
-        zones."""
+        """Return the number of on-demand and of cheap servers for each zone.
+
+        Zones with lower prices get the remainders of the division.
+        """
         prices = self.limits.zone_prices
         zones = sorted(
             self.zones - set(evacuated_zones), key=lambda zone: (prices[zone], zone)
--- a/tests/test_admission_cancel.py
+++ b/tests/test_admission_cancel.py
@@ -1,4 +1,4 @@
-"""A cancel that comes before the attempt that it ends."""
+"""Cancellation of an attempt before it starts."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 class RecordingPolicy:
-    """Answers a submitted request with a Start that a Cancel follows at once."""
+    """Returns, for a submitted request, a Start, its Cancel and a second Start."""
 
     def submit(self, request: RequestSpec, now: float) -> list[Start | Cancel]:
         request_id = request.request_id
@@ -24,8 +24,8 @@
 async def test_attempt_that_was_preempted_before_it_began_does_not_begin() -> None:
     """The router may preempt a request whose Start is still in its mailbox.
 
-    Were the cancel lost, the attempt would run on its server beside the second one,
-    and the place that it was cancelled for would not be free.
+    If the cancel were lost, that attempt would run beside the second one, and the place
+    it was cancelled for would not become free.
     """
     client = BackendClient()
     driver = RouterDriver("a", ManualClock(), client)
--- a/tests/test_admission_model.py
+++ b/tests/test_admission_model.py
@@ -1,4 +1,4 @@
-"""The promises of admission, over random arrivals, answers and failures."""
+"""Invariants of admission under random arrivals, answers and failures."""
 
 from collections import Counter
 from random import Random
@@ -41,8 +41,8 @@
 )
 
 
-class World:
-    """A router, its attempts, and what became of each request."""
+class RouterHarness:
+    """A router with its active attempts, and the outcome of each request."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -50,7 +50,7 @@
         self.router.admission.max_waiting = MAX_WAITING
         self.requests: dict[str, RequestSpec] = {}
         self.active: dict[str, Start] = {}
-        self.starts: Counter[str] = Counter()
+        self.attempts: Counter[str] = Counter()
         self.unsent: Counter[str] = Counter()
         self.preempted: Counter[str] = Counter()
         self.outcomes: dict[str, list[str]] = {}
@@ -60,7 +60,7 @@
             )
         )
 
-        # Few places and a short queue, so that a hundred steps fill both.
+        # Few places, so that a hundred steps fill them and the short queue.
         for state in self.router.backends.states.values():
             state.limit.value = 2.0
 
@@ -76,7 +76,7 @@
                         assert self.tier(victim) > self.tier(request_id)
                         victim = None
                     self.active[request_id] = action
-                    self.starts[request_id] += 1
+                    self.attempts[request_id] += 1
                 case Cancel(request_id=request_id, reason=reason):
                     del self.active[request_id]
                     if reason is CancelReason.PREEMPTED:
@@ -85,7 +85,7 @@
                 case Refuse(request_id=request_id):
                     self.outcomes[request_id].append("refused")
                     if action.not_run is NotRun.TRUE:
-                        assert self.starts[request_id] == self.unsent[request_id]
+                        assert self.attempts[request_id] == self.unsent[request_id]
 
     def submit(self, number: int) -> None:
         request_id = f"r{len(self.requests)}"
@@ -112,10 +112,11 @@
                 assert self.tier(action.request_id) >= lowest
 
     def lowest_to_give_way(self, request: RequestSpec) -> int:
-        """Return the lowest tier that could give way to a new request.
+        """Return the lowest tier that a new request may cause to be shed.
 
-        In a full queue that is the lowest that waits. For a request that would come
-        too late it is the lowest that may be preempted, if more may than wait for it.
+        With a full queue it is the lowest tier that waits. For a request that would
+        start too late, it is the lowest tier with preemptible requests, provided that
+        there are more of them than requests waiting ahead.
         """
         admission = self.router.admission
         queue = admission.queue_for(request)
@@ -171,7 +172,7 @@
             self.act(self.router.tick(self.now))
 
     def drain(self) -> None:
-        """Finish what runs until all has ended."""
+        """Finish running requests until all requests have ended."""
         for step in range(4000):
             self.finish(step)
             self.wait(4)
@@ -196,20 +197,21 @@
 def test_every_request_ends_once_and_no_lower_tier_goes_before_a_higher(
     seed: int,
 ) -> None:
-    """The checks in `World` hold after each step, whatever comes in which order.
+    """Checks the invariants asserted in `RouterHarness` after each random step.
 
-    A refusal that says "not run" had no attempt that reached a server; who is preempted gives way to a
-    higher tier; a full queue sheds its lowest tier; and each request ends once.
+    A refusal marked "not run" had no attempt that reached a server; a request is
+    preempted only for a higher tier; a full queue sheds its lowest tier; and each
+    request ends exactly once.
     """
-    world = World()
-    # Lists that hypothesis draws itself stay too short to fill places and queue.
+    harness = RouterHarness()
+    # Lists drawn by hypothesis are too short to fill the places and the queue.
     draw = Random(seed)
     for _ in range(200):
-        getattr(world, draw.choice(OPERATIONS))(draw.randrange(400))
-    world.drain()
-    assert all(len(ends) == 1 for ends in world.outcomes.values())
-    assert max(world.preempted.values(), default=0) <= MAX_PREEMPTIONS
-    admission = world.router.admission
+        getattr(harness, draw.choice(OPERATIONS))(draw.randrange(400))
+    harness.drain()
+    assert all(len(ends) == 1 for ends in harness.outcomes.values())
+    assert max(harness.preempted.values(), default=0) <= MAX_PREEMPTIONS
+    admission = harness.router.admission
     assert not admission.jobs and not admission.waiting
     assert all(
         use.open_requests == 0 for use in admission.limits.usage_by_team.values()
@@ -220,7 +222,7 @@
 
 
 class FakeClass:
-    """A class that always has work waiting."""
+    """A class that always has requests waiting."""
 
     def __init__(self, tier: int, turn_share: float, hold_s: float) -> None:
         self.tier = tier
@@ -239,7 +241,7 @@
     ),
     st.lists(st.floats(0.001, 2.0), min_size=50, max_size=300),
 )
-def test_no_class_starves_however_much_waits_above_it(
+def test_no_class_starves_behind_higher_tiers(
     classes: list[tuple[int, float, float]], gaps: list[float]
 ) -> None:
     queues = [FakeClass(*values) for values in classes]
@@ -249,13 +251,13 @@
         for queue in queues:
             queue.longest_gap = max(queue.longest_gap, now - queue.turns.last_turn_at)
         choose_class(queues, now)
-    # Each of the others may have become owed a turn at the same moment.
+    # Each other class may become due for a guard turn at the same moment.
     assert max(q.longest_gap for q in queues) <= AGING_THRESHOLD_S + 2.0 * len(queues)
 
 
 @settings(max_examples=60, derandomize=True, deadline=None)
 @given(st.floats(0.0, 0.2), st.floats(1.0, 50.0), st.integers(200, 600))
-def test_guard_gives_a_class_no_more_than_its_share_of_the_time_held(
+def test_starvation_guard_grants_at_most_the_turn_share_of_service_time(
     share: float, hold_s: float, turns: int
 ) -> None:
     top, low = FakeClass(1, 0.0, 1.0), FakeClass(2, share, hold_s)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity plan: how many servers, of which kind, where, and when to wait."""
+"""Capacity planner: number, kind and zone of the servers ordered or drained."""
 
 import math
 from collections import Counter
@@ -66,8 +66,8 @@
     return [d for d in decisions if isinstance(d, Order)]
 
 
-def steady(planner: Planner, view: View, seconds: float) -> list[Decision]:
-    """Show the planner the same view for a while; return all that it decided."""
+def run_steadily(planner: Planner, view: View, seconds: float) -> list[Decision]:
+    """Repeat the same view for some time; return all decisions."""
     decided: list[Decision] = []
     for step in range(int(seconds / 10)):
         decided += planner.step(view._replace(now=view.now + 10 * step))
@@ -80,7 +80,7 @@
     assert len({o.zone for o in decided}) >= 2
 
 
-def test_starts_are_paced_so_that_weight_loads_do_not_crowd() -> None:
+def test_number_of_servers_starting_at_once_is_limited() -> None:
     decided = orders(make_planner().step(View(0.0, demand(6.0, 6.0), [])))
     assert len(decided) == math.ceil(0.34 * 18)
     waiting = [
@@ -89,16 +89,16 @@
     assert not orders(make_planner().step(View(0.0, demand(6.0, 6.0), waiting)))
 
 
-def test_a_queue_orders_servers_before_arrivals_grow() -> None:
-    calm = make_planner().step(View(0.0, demand(1.0), fleet(1, 1)))
-    queued = make_planner().step(View(0.0, demand(1.0, 0.0, 120.0), fleet(1, 1)))
-    assert not orders(calm)
-    assert orders(queued)
+def test_a_backlog_orders_servers_without_a_rise_in_arrivals() -> None:
+    without_backlog = make_planner().step(View(0.0, demand(1.0), fleet(1, 1)))
+    with_backlog = make_planner().step(View(0.0, demand(1.0, 0.0, 120.0), fleet(1, 1)))
+    assert not orders(without_backlog)
+    assert orders(with_backlog)
 
 
 @pytest.mark.parametrize("total", range(1, 13))
 @pytest.mark.parametrize("high", [0.5, 2.0, 4.0, 8.0])
-def test_losing_the_largest_cheap_zone_leaves_room_for_the_high_tiers(
+def test_losing_the_largest_cheap_zone_leaves_capacity_for_the_high_tiers(
     total: int, high: float
 ) -> None:
     mix = split_by_kind(total, high, 3, INTENTION._replace(cheap_share=1.0))
@@ -107,17 +107,21 @@
     assert mix.cheap == 0 or survivors * HIGH_TIER_UTILISATION >= high
 
 
-def test_a_server_goes_only_after_it_was_not_wanted_for_a_while() -> None:
+def test_a_server_is_drained_only_after_it_was_not_needed_for_the_shrink_delay() -> (
+    None
+):
     planner = make_planner()
     planner.step(View(0.0, demand(3.0), fleet(2, 3)))
-    early = steady(planner, View(10.0, demand(0.5), fleet(2, 3)), SHRINK_DELAY_S - 100)
+    early = run_steadily(
+        planner, View(10.0, demand(0.5), fleet(2, 3)), SHRINK_DELAY_S - 100
+    )
     assert not early
-    late = steady(planner, View(SHRINK_DELAY_S, demand(0.5), fleet(2, 3)), 300)
+    late = run_steadily(planner, View(SHRINK_DELAY_S, demand(0.5), fleet(2, 3)), 300)
     drains = [d for d in late if isinstance(d, Drain)]
     assert 1 <= len(drains) <= 300 / DRAIN_INTERVAL_S
 
 
-def test_noise_moves_the_fleet_once_at_most() -> None:
+def test_noise_changes_the_fleet_at_most_once() -> None:
     planner = make_planner()
     servers = fleet(2, 3)
     moves: list[Decision] = []
@@ -130,7 +134,7 @@
     assert len(moves) <= 1, moves
 
 
-def test_a_draining_server_works_again_before_a_new_one_is_ordered() -> None:
+def test_a_draining_server_is_undrained_before_a_new_one_is_ordered() -> None:
     servers = [*fleet(1, 1), server(9, "c", "cheap", ServerState.DRAINING)]
     decided = make_planner().step(View(0.0, demand(2.0), servers))
     assert decided == [Undrain(BackendId("s9"))]
@@ -146,10 +150,11 @@
 
 
 def test_an_evicted_zone_is_replaced_elsewhere_at_once() -> None:
-    """
-    The platform gives a zone's cheap servers notice while they serve. The callers
-    would queue until replacements serve, and a replacement in the same zone would be
-    refused or go next, so other zones are asked in the same round.
+    """Guards against a queue that grows until evicted servers are replaced.
+
+    The platform gives notice to the cheap servers of a zone while they serve. A
+    replacement in the same zone would be refused or evicted next, so other zones have
+    to be asked in the same round.
     """
     servers = [
         s._replace(state=ServerState.LEAVING) if s.zone == "a" else s
@@ -160,10 +165,11 @@
     assert all(o.zone != "a" for o in decided if o.kind == "cheap")
 
 
-def test_no_cheap_server_anywhere_becomes_one_on_demand_within_the_budget() -> None:
-    """
-    Every zone refuses cheap servers for the same minutes. Waiting for them leaves the
-    callers' queue to grow; ordering on demand without end spends what was not granted.
+def test_an_unavailable_cheap_server_is_replaced_on_demand_within_the_budget() -> None:
+    """Every zone refuses cheap servers during the same minutes.
+
+    Waiting for them would let the queue grow; ordering on demand without a bound would
+    exceed the budget.
     """
     planner = make_planner(INTENTION._replace(budget_per_hour=3.0))
     for zone in ZONES:
@@ -176,9 +182,9 @@
 
 
 def test_the_budget_cuts_the_plan_but_never_below_the_minimum() -> None:
-    poor = INTENTION._replace(budget_per_hour=0.1)
-    mix = cut_to_budget(split_by_kind(10, 1.0, 3, poor), poor)
-    assert mix.total == poor.min_servers
+    low_budget = INTENTION._replace(budget_per_hour=0.1)
+    mix = cut_to_budget(split_by_kind(10, 1.0, 3, low_budget), low_budget)
+    assert mix.total == low_budget.min_servers
 
 
 def test_old_reports_order_and_release_nothing() -> None:
@@ -187,9 +193,10 @@
 
 
 def test_one_silent_server_is_replaced_but_a_silent_fleet_is_not() -> None:
-    """
-    Reports that call half the fleet dead come from a broken path more often than
-    from a broken fleet. Believing them orders a second fleet beside the first.
+    """Guards against a second fleet ordered because of a network fault.
+
+    Reports that call half the fleet silent are caused by a faulty path more often than
+    by failed servers.
     """
     servers = fleet(2, 4)
     one = [servers[0]._replace(state=ServerState.SILENT), *servers[1:]]
@@ -198,7 +205,7 @@
     assert make_planner().step(View(0.0, demand(4.0), half)) == []
 
 
-def test_a_rising_trend_is_seen_before_it_arrives_and_a_falling_one_is_not() -> None:
+def test_a_rising_trend_is_extrapolated_and_a_falling_one_is_not() -> None:
     trend = Trend(1.0)
     for second in range(10, 600, 10):
         trend.observe(1.0 + second / 300, float(second))
@@ -220,12 +227,12 @@
     assert forecast.predict(name, before_the_evening) == pytest.approx(4.0, rel=0.05)
 
 
-def test_bounds_of_the_intention_hold_whatever_the_work() -> None:
+def test_bounds_of_the_intention_hold_for_any_work() -> None:
     assert servers_needed(0.0, 0.0, INTENTION) == INTENTION.min_servers
     assert servers_needed(1e6, 0.0, INTENTION) == INTENTION.max_servers
 
 
-def test_a_servers_speed_in_the_plan_is_the_engine_models() -> None:
+def test_server_speed_in_the_plan_matches_the_engine_model() -> None:
     engine = EngineModel()
     for number in range(96):
         engine.submit(Sequence(str(number), 400, 200))
@@ -247,7 +254,7 @@
     assert plan.cheap_work >= 0.5
 
 
-def test_a_moved_cache_spares_the_survivor_the_reading() -> None:
+def test_a_moved_cache_saves_the_surviving_server_the_prefill() -> None:
     recomputed, moved = play_moves(4096, None), play_moves(4096, 100.0)
     assert recomputed.resident_gap_s > 2 * moved.resident_gap_s
     assert moved.pause_worst_s < recomputed.pause_worst_s
--- a/tests/test_capacity_orders.py
+++ b/tests/test_capacity_orders.py
@@ -1,4 +1,4 @@
-"""Orders for backend servers: written down first, never given twice, under a lease."""
+"""Orders for backend servers: recorded first, never executed twice, under a lease."""
 
 from collections.abc import AsyncIterator
 from dataclasses import dataclass
@@ -41,8 +41,8 @@
 
 
 @dataclass
-class Site:
-    """A platform with engines to order, and a duty that has no lease to wait for."""
+class CapacityHarness:
+    """A stand-in platform with engines to order, and a duty with a fake lease."""
 
     platform: StandinPlatform
     engines: list[StandinEngine]
@@ -66,7 +66,7 @@
         return raw
 
     async def rounds(self, count: int) -> None:
-        """Play rounds with an entry that reports that nobody asks for anything."""
+        """Run planning rounds, with an entry that reports no demand."""
         for number in range(count):
             self.clock.advance(5.0)
             row = DemandMeter().dump("x", {}) | {"number": number}
@@ -74,14 +74,14 @@
             await self.duty.run_round(self.guard)
 
     @property
-    def placed(self) -> list[str]:
+    def order_ids(self) -> list[str]:
         return [
             o["order_id"] for o in self.platform.order_log if o["action"] == "order"
         ]
 
 
 @pytest.fixture
-async def site() -> AsyncIterator[Site]:
+async def harness() -> AsyncIterator[CapacityHarness]:
     engines = [StandinEngine(EngineSettings(name=f"e{n}")) for n in range(4)]
     for engine in engines:
         engine.models = {MODEL}
@@ -100,7 +100,9 @@
         settings = PlatformSettings(platform.server.url, timeout_s=0.5)
         async with PlatformClient(settings, "n1") as client:
             guard = FakeGuard(versions[ORDERS_LEASE])
-            made = Site(platform, engines, client, guard, ManualClock(1e6), None)  # type: ignore[arg-type]
+            made = CapacityHarness(
+                platform, engines, client, guard, ManualClock(1e6), None
+            )  # type: ignore[arg-type]
             made.duty = made.new_duty()
             with anyio.fail_after(20):
                 while not await made.duty.resume():
@@ -112,88 +114,92 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_a_cold_start_orders_the_minimum_and_publishes_it(site: Site) -> None:
-    await site.rounds(4)
-    assert len(site.platform.servers) == 2
-    row = load_fleet(site.platform.table.rows[SERVERS_KEY].value)
-    assert set(row.servers) == set(site.platform.servers)
-    assert not [k for k in site.platform.table.rows if k.startswith("intent/")]
+async def test_a_cold_start_orders_the_minimum_and_publishes_it(
+    harness: CapacityHarness,
+) -> None:
+    await harness.rounds(4)
+    assert len(harness.platform.servers) == 2
+    row = load_fleet(harness.platform.table.rows[SERVERS_KEY].value)
+    assert set(row.servers) == set(harness.platform.servers)
+    assert not [k for k in harness.platform.table.rows if k.startswith("intent/")]
 
 
-async def test_a_lost_answer_orders_no_second_server(site: Site) -> None:
-    """
-    The platform takes an order and its answer is lost. The duty cannot know, and the
-    platform may not show the server yet: ordering anew would pay for two. The order
-    goes out again under its own id, which counts once.
+async def test_a_lost_answer_orders_no_second_server(harness: CapacityHarness) -> None:
+    """Guards against a second server when the answer to an order is lost.
+
+    The platform may not list the ordered server yet, so that a new order would pay for
+    two. The order is resent under its own id, which counts once.
     """
-    await site.rounds(1)
-    # The first lost answer is to the intent's write, the second to the order itself.
-    site.platform.faults.lose_answers = 2
-    await site.rounds(1)
-    assert site.duty.book.pending
-    site.platform.faults.lose_answers = 0
-    await site.rounds(4)
-    assert len(site.platform.servers) == 2
-    assert len(site.placed) > len(set(site.placed)) == 2
-    assert not site.duty.book.pending
-
-
-async def test_a_successor_sends_what_was_written_down_and_nothing_more(
-    site: Site,
+    await harness.rounds(1)
+    # The first lost answer is that to the intent's write, the second that to the order.
+    harness.platform.faults.lose_answers = 2
+    await harness.rounds(1)
+    assert harness.duty.book.pending
+    harness.platform.faults.lose_answers = 0
+    await harness.rounds(4)
+    assert len(harness.platform.servers) == 2
+    assert len(harness.order_ids) > len(set(harness.order_ids)) == 2
+    assert not harness.duty.book.pending
+
+
+async def test_a_successor_sends_the_recorded_intent_and_nothing_more(
+    harness: CapacityHarness,
 ) -> None:
-    """
-    The holder stops between writing an order down and sending it, or hearing of it.
-    Its successor cannot tell which. Ordering on its own would double it, and dropping
-    it would lose a server that may be running.
+    """The holder stops after recording an order, before its outcome is known.
+
+    The successor cannot tell whether the order was sent. A new order would double it,
+    and dropping it would lose track of a server that may be running.
     """
     body = {"action": "order", "zone": "a", "kind": "cheap", "pools": [MODEL]}
     intent = Intent("1-77", 1, body)
-    await run_steps(site.client, record_intent("orders", site.guard, intent))
-    site.duty = site.new_duty()
-    site.guard.fence = 2
-    assert await site.duty.resume()
-    await site.rounds(4)
-    assert site.placed[0] == "1-77"
-    assert len(site.platform.servers) == 2
+    await run_steps(harness.client, record_intent("orders", harness.guard, intent))
+    harness.duty = harness.new_duty()
+    harness.guard.fence = 2
+    assert await harness.duty.resume()
+    await harness.rounds(4)
+    assert harness.order_ids[0] == "1-77"
+    assert len(harness.platform.servers) == 2
 
 
-async def test_a_deposed_holder_orders_and_publishes_nothing(site: Site) -> None:
-    """
-    A paused holder wakes up after its lease went to another. Its next order would be
-    the second fleet's first server.
+async def test_a_deposed_holder_orders_and_publishes_nothing(
+    harness: CapacityHarness,
+) -> None:
+    """A paused holder resumes after its lease has passed to another process.
+
+    Any order it sent then would start a second fleet.
     """
-    site.platform.table.transact({}, {ORDERS_LEASE: {"holder": "other"}})
-    await site.rounds(2)
-    site.guard.fence = None
-    await site.rounds(2)
-    assert site.platform.order_log == []
-    assert SERVERS_KEY not in site.platform.table.rows
+    harness.platform.table.transact({}, {ORDERS_LEASE: {"holder": "other"}})
+    await harness.rounds(2)
+    harness.guard.fence = None
+    await harness.rounds(2)
+    assert harness.platform.order_log == []
+    assert SERVERS_KEY not in harness.platform.table.rows
 
 
-async def test_an_outage_freezes_the_fleet(site: Site) -> None:
-    await site.rounds(3)
-    before = len(site.platform.order_log)
-    site.platform.faults.outage = True
-    await site.rounds(3)
-    assert len(site.platform.order_log) == before
-    site.platform.faults.outage = False
-    await site.rounds(3)
-    assert len(site.platform.servers) == 2
+async def test_an_outage_freezes_the_fleet(harness: CapacityHarness) -> None:
+    await harness.rounds(3)
+    before = len(harness.platform.order_log)
+    harness.platform.faults.outage = True
+    await harness.rounds(3)
+    assert len(harness.platform.order_log) == before
+    harness.platform.faults.outage = False
+    await harness.rounds(3)
+    assert len(harness.platform.servers) == 2
 
 
 async def test_notice_of_eviction_is_published_and_replaced_in_another_zone(
-    site: Site, http: httpx.AsyncClient
+    harness: CapacityHarness, http: httpx.AsyncClient
 ) -> None:
-    await site.rounds(4)
+    await harness.rounds(4)
     cheap = next(
-        s for s in site.platform.servers.values() if s.spare.kind == "cheap"
+        s for s in harness.platform.servers.values() if s.spare.kind == "cheap"
     ).spare
-    url = site.platform.server.url
+    url = harness.platform.server.url
     await http.post(
         f"{url}/_standin/evict", json={"zone": cheap.zone, "notice_s": 60.0}
     )
-    await site.rounds(4)
-    row = load_fleet(site.platform.table.rows[SERVERS_KEY].value)
+    await harness.rounds(4)
+    row = load_fleet(harness.platform.table.rows[SERVERS_KEY].value)
     assert row.servers[cheap.backend_id].leaving
     staying = [s for s in row.servers.values() if not s.leaving]
     assert len(staying) == 2
@@ -201,22 +207,24 @@
     assert all(s.zone != cheap.zone for s in new)
 
 
-async def test_no_cheap_server_to_be_had_orders_one_on_demand(site: Site) -> None:
-    site.platform.faults.cheap_unavailable = ["a", "b"]
-    await site.rounds(6)
-    kinds = [s.spare.kind for s in site.platform.servers.values()]
+async def test_an_unavailable_cheap_server_is_ordered_on_demand(
+    harness: CapacityHarness,
+) -> None:
+    harness.platform.faults.cheap_unavailable = ["a", "b"]
+    await harness.rounds(6)
+    kinds = [s.spare.kind for s in harness.platform.servers.values()]
     assert kinds == ["on_demand", "on_demand"]
 
 
 async def test_an_ordered_server_serves_callers_and_an_outage_does_not_stop_it(
-    site: Site, http: httpx.AsyncClient
+    harness: CapacityHarness, http: httpx.AsyncClient
 ) -> None:
-    raw = site.document()
+    raw = harness.document()
     parse_document(raw)
     head = {"number": 1, "document": raw}
-    await site.rounds(4)
+    await harness.rounds(4)
     settings = EntrySettings(
-        "e1", "a", PlatformSettings(site.platform.server.url), balancer_wait_s=0.0
+        "e1", "a", PlatformSettings(harness.platform.server.url), balancer_wait_s=0.0
     )
     entry = Entry(settings)
     entry.follower.adopt(1, head["document"])
@@ -229,25 +237,25 @@
             while not entry.driver.fleet.servers:
                 await anyio.sleep(0.05)
         assert (await http.post(url, json=body, headers=headers)).status_code == 200
-        site.platform.faults.outage = True
+        harness.platform.faults.outage = True
         assert (await http.post(url, json=body, headers=headers)).status_code == 200
         key = DemandKey(MODEL, "question")
         assert entry.app.demand.sums[key].answers == 2
 
 
-def shown(backend_id: str, state: str = "serving", order: str = "1-1") -> FleetServer:
+def listed(backend_id: str, state: str = "serving", order: str = "1-1") -> FleetServer:
     return FleetServer(backend_id, "http://x", "a", "cheap", ["m"], order, state)
 
 
-def test_a_starting_server_is_capacity_but_gets_no_work() -> None:
+def test_a_starting_server_counts_as_capacity_but_gets_no_requests() -> None:
     book = OrderBook()
-    row = book.make_row([shown("s1", "starting")])
+    row = book.make_row([listed("s1", "starting")])
     assert row.servers == {}
-    [view] = book.list_servers("m", [shown("s1", "starting")], {}, 0.0)
+    [view] = book.list_servers("m", [listed("s1", "starting")], {}, 0.0)
     assert view.state is ServerState.STARTING
 
 
-def test_an_order_that_the_platform_does_not_show_yet_counts_once() -> None:
+def test_an_order_that_the_platform_does_not_list_yet_counts_once() -> None:
     book = OrderBook()
     order = Order(PoolName("m"), ZoneName("a"), "cheap", "demand")
     intent = book.make_intent(order, fence=3)
@@ -256,13 +264,13 @@
     assert [v.state for v in book.list_servers("m", [], {}, 0.0)] == [
         ServerState.ORDERED
     ]
-    fleet = [shown("s1", "starting", intent.intent_id)]
+    fleet = [listed("s1", "starting", intent.intent_id)]
     assert len(book.list_servers("m", fleet, {}, 0.0)) == 1
 
 
 def test_a_drain_waits_for_the_entries_then_for_the_requests() -> None:
     book = OrderBook()
-    book.published = book.make_row([shown("s1")])
+    book.published = book.make_row([listed("s1")])
     book.published = book.set_draining(Drain(BackendId("s1"), "surplus"), wall=100.0)
     assert book.published.servers["s1"].leaving
     after = 100.0 + MIN_DRAIN_S
@@ -272,16 +280,17 @@
     book.running_requests = {"s1": None}
     assert book.open_requests("s1", after) == 1
     assert book.open_requests("s1", 101.0 + SILENT_DRAIN_TIMEOUT_S) == 0
-    assert book.make_row([shown("s1")]).servers["s1"].leaving
+    assert book.make_row([listed("s1")]).servers["s1"].leaving
 
 
 def test_a_release_names_its_order_and_goes_out_once() -> None:
-    """
-    A release whose answer was lost is sent again. Meanwhile the platform may have
-    handed the same server out under a new order, which the release must not end.
+    """A release whose answer was lost is sent again.
+
+    Meanwhile the platform may have reused the server for a new order, and the release
+    must not end that one.
     """
     book = OrderBook()
-    book.published = book.make_row([shown("s1", order="1-1")])
+    book.published = book.make_row([listed("s1", order="1-1")])
     intent = book.make_intent(Release(BackendId("s1")), fence=1)
     assert intent is not None
     assert intent.order["of_order"] == "1-1"
@@ -289,9 +298,9 @@
     assert book.make_intent(Release(BackendId("s1")), fence=1) is None
 
 
-def test_a_row_of_unknown_outcome_never_shares_its_number() -> None:
+def test_number_of_a_row_of_unknown_outcome_is_not_reused() -> None:
     book = OrderBook()
-    lost = book.make_row([shown("s1")])
+    lost = book.make_row([listed("s1")])
     book.is_write_uncertain = True
     assert book.make_row([]).number > lost.number
 
@@ -305,7 +314,7 @@
     assert merged == document.backends
 
 
-def test_demand_is_what_came_not_what_was_served() -> None:
+def test_demand_counts_arrivals_rather_than_answers() -> None:
     document = parse_document(dev_document([], "http://y"))
     intention = CapacityIntention()
     meter, book = DemandMeter(), DemandBook()
@@ -323,7 +332,7 @@
     assert book.age_s(50.0) == 40.0
 
 
-def test_an_entry_that_started_again_is_no_flood_and_no_gap() -> None:
+def test_a_restarted_entry_neither_inflates_nor_loses_demand() -> None:
     book = DemandBook()
     key = DemandKey(MODEL, "question")
     old, new = DemandMeter(), DemandMeter()
--- a/tests/test_zonal.py
+++ b/tests/test_zonal.py
@@ -1,4 +1,4 @@
-"""The number of servers of each kind that a zone is to have."""
+"""Planner of the desired number of servers of each kind in a zone."""
 
 from collections import Counter
 
@@ -26,16 +26,16 @@
 ROUND_S = 0.5
 
 
-class Market:
-    """A platform that starts servers after a while, and takes cheap ones away."""
+class FakePlatform:
+    """A platform that starts servers after a delay, and reclaims cheap ones."""
 
     def __init__(self, each: int = 2) -> None:
         self.planner = ZonalPlanner(PoolName("lm"), LIMITS)
         self.counts: Counter[tuple[ZoneName, ServerKind]] = Counter(
             {(zone, "on_demand"): each for zone in (A, B, C)}
         )
-        self.coming: list[tuple[float, ZoneName, ServerKind, int]] = []
-        self.dry: set[ZoneName] = set()
+        self.starting: list[tuple[float, ZoneName, ServerKind, int]] = []
+        self.without_cheap: set[ZoneName] = set()
         self.now = 0.0
         self.closed: set[ZoneName] = set()
         self.sent: list[Wanted] = []
@@ -46,16 +46,16 @@
         return self.counts.total()
 
     def reclaim(self, zone: ZoneName) -> None:
-        """Take the cheap servers of a zone away, with none to be had after."""
-        self.dry.add(zone)
+        """Remove the cheap servers of a zone; none are available there afterwards."""
+        self.without_cheap.add(zone)
         self.counts[zone, "cheap"] = 0
 
     def play(self, seconds: float, open_requests: float | None) -> None:
         end = self.now + seconds
         while self.now < end:
             self.now += ROUND_S
-            for item in [item for item in self.coming if item[0] <= self.now]:
-                self.coming.remove(item)
+            for item in [item for item in self.starting if item[0] <= self.now]:
+                self.starting.remove(item)
                 self.counts[item[1], item[2]] = item[3]
             for zone in (A, B, C):
                 kinds = self.counts[zone, "on_demand"] + self.counts[zone, "cheap"]
@@ -70,30 +70,30 @@
         ]
         for item in self.planner.step(servers, open_requests, self.now, self.closed):
             self.sent.append(item)
-            outcome = self.take(item)
+            outcome = self.apply_order(item)
             self.planner.record_outcome(item, outcome, self.now)
 
-    def take(self, item: Wanted) -> OrderOutcome:
+    def apply_order(self, item: Wanted) -> OrderOutcome:
         place = (item.zone, item.kind)
         if item.number > self.counts[place]:
-            if item.kind == "cheap" and item.zone in self.dry:
+            if item.kind == "cheap" and item.zone in self.without_cheap:
                 return OrderOutcome.UNAVAILABLE
             ready = self.now + LIMITS.start_s
-            self.coming.append((ready, item.zone, item.kind, item.number))
+            self.starting.append((ready, item.zone, item.kind, item.number))
         else:
             self.counts[place] = item.number
         return OrderOutcome.DONE
 
 
-def test_room_stands_ready_as_cheap_servers_before_the_first_burst() -> None:
-    """A burst of nine seconds, which a server that starts in four misses the half of.
+def test_headroom_is_ordered_as_cheap_servers_before_the_first_burst() -> None:
+    """Guards against bursts of nine seconds, half of which pass before a server starts.
 
-    Six servers on demand were found. Room for as many again is there before any request
-    comes, at a lower price than the six.
+    Six on-demand servers are found. Headroom for as many again is ordered before any
+    request arrives, and the whole fleet costs less than those six.
     """
-    market = Market()
-    market.play(20, open_requests=0)
-    assert market.counts == {
+    platform = FakePlatform()
+    platform.play(20, open_requests=0)
+    assert platform.counts == {
         (A, "on_demand"): 1,
         (B, "on_demand"): 1,
         (C, "on_demand"): 1,
@@ -104,191 +104,196 @@
 
 
 def test_server_on_demand_stays_until_the_cheap_ones_serve() -> None:
-    """A zone without cheap servers to be had keeps both of its servers on demand."""
-    market = Market()
-    market.dry = {A}
-    market.play(20, open_requests=0)
-    assert market.counts[A, "on_demand"] == 2
-    assert market.counts[B, "on_demand"] == 1
+    """A zone that has no cheap servers keeps both of its on-demand servers."""
+    platform = FakePlatform()
+    platform.without_cheap = {A}
+    platform.play(20, open_requests=0)
+    assert platform.counts[A, "on_demand"] == 2
+    assert platform.counts[B, "on_demand"] == 1
 
 
-def test_reclaimed_zone_is_asked_seldom_while_it_is_dry_and_filled_again_after() -> (
+def test_reclaimed_zone_is_asked_seldom_while_it_has_no_servers_and_is_refilled_after() -> (
     None
 ):
-    """Every cheap server of a zone goes in a burst, and for ten seconds none comes."""
-    market = Market()
-    market.play(20, open_requests=45)
-    market.reclaim(B)
-    market.sent.clear()
-    market.play(10, open_requests=45)
-    assert market.counts[B, "on_demand"] >= 1
-    assert 1 <= len(market.sent) <= 10 / REFUSAL_BACKOFF_S + 1
-    market.dry.clear()
-    market.play(REFUSAL_BACKOFF_S + LIMITS.start_s + 1, open_requests=45)
-    assert market.counts[B, "cheap"] == 3
+    """All cheap servers of a zone are reclaimed in a burst.
+
+    For ten seconds none is available there.
+    """
+    platform = FakePlatform()
+    platform.play(20, open_requests=45)
+    platform.reclaim(B)
+    platform.sent.clear()
+    platform.play(10, open_requests=45)
+    assert platform.counts[B, "on_demand"] >= 1
+    assert 1 <= len(platform.sent) <= 10 / REFUSAL_BACKOFF_S + 1
+    platform.without_cheap.clear()
+    platform.play(REFUSAL_BACKOFF_S + LIMITS.start_s + 1, open_requests=45)
+    assert platform.counts[B, "cheap"] == 3
 
 
 def test_fleet_grows_with_open_requests_up_to_the_limits() -> None:
-    market = Market(each=1)
-    market.play(20, open_requests=0)
-    assert market.total == 6
-    market.play(10, open_requests=9 * OPEN_REQUESTS_PER_SERVER)
-    assert market.total == 9
-    market.play(10, open_requests=1000)
-    assert market.total == 18
-    assert market.most_at_once <= LIMITS.most
+    platform = FakePlatform(each=1)
+    platform.play(20, open_requests=0)
+    assert platform.total == 6
+    platform.play(10, open_requests=9 * OPEN_REQUESTS_PER_SERVER)
+    assert platform.total == 9
+    platform.play(10, open_requests=1000)
+    assert platform.total == 18
+    assert platform.most_at_once <= LIMITS.most
 
 
 def test_fleet_shrinks_only_after_the_demand_was_low_for_long() -> None:
     """Bursts ten seconds apart are served by the same servers."""
-    market = Market(each=1)
+    platform = FakePlatform(each=1)
     for _ in range(4):
-        market.play(9, open_requests=9 * OPEN_REQUESTS_PER_SERVER)
-        market.play(DEMAND_WINDOW_S / 3, open_requests=5)
-        assert market.total == 9
-    market.play(DEMAND_WINDOW_S + 5, open_requests=5)
-    assert market.total == 3
+        platform.play(9, open_requests=9 * OPEN_REQUESTS_PER_SERVER)
+        platform.play(DEMAND_WINDOW_S / 3, open_requests=5)
+        assert platform.total == 9
+    platform.play(DEMAND_WINDOW_S + 5, open_requests=5)
+    assert platform.total == 3
 
 
 def test_small_changes_of_the_demand_order_nothing() -> None:
-    market = Market()
-    market.play(40, open_requests=45)
-    market.sent.clear()
+    platform = FakePlatform()
+    platform.play(40, open_requests=45)
+    platform.sent.clear()
     for swing in (43, 38, 45, 36, 44):
-        market.play(DEMAND_WINDOW_S / 2, open_requests=swing)
-    assert market.sent == []
+        platform.play(DEMAND_WINDOW_S / 2, open_requests=swing)
+    assert platform.sent == []
 
 
 def test_lost_order_is_sent_again() -> None:
-    """An order's answer came, and the platform forgot it: the list never shows it."""
-    market = Market()
-    market.play(OBSERVATION_S + 2 * ROUND_S, open_requests=0)
-    assert market.coming
-    market.coming.clear()
-    market.sent.clear()
-    market.play(6, open_requests=0)
-    assert market.sent == []
-    market.play(10, open_requests=0)
-    assert market.counts[A, "cheap"] == 3
-
-
-def test_successor_leaves_the_fleet_that_it_finds() -> None:
-    """Each takeover would double the fleet, were the room added anew."""
-    market = Market()
-    market.play(20, open_requests=45)
-    market.planner = ZonalPlanner(PoolName("lm"), LIMITS)
-    market.sent.clear()
-    market.play(10, open_requests=None)
-    assert market.sent == []
-    assert market.total == 12
+    """The platform accepts an order but loses it: the list never shows the server."""
+    platform = FakePlatform()
+    platform.play(OBSERVATION_S + 2 * ROUND_S, open_requests=0)
+    assert platform.starting
+    platform.starting.clear()
+    platform.sent.clear()
+    platform.play(6, open_requests=0)
+    assert platform.sent == []
+    platform.play(10, open_requests=0)
+    assert platform.counts[A, "cheap"] == 3
+
+
+def test_successor_keeps_the_fleet_that_it_finds() -> None:
+    """If each new holder added headroom again, each takeover would double the fleet."""
+    platform = FakePlatform()
+    platform.play(20, open_requests=45)
+    platform.planner = ZonalPlanner(PoolName("lm"), LIMITS)
+    platform.sent.clear()
+    platform.play(10, open_requests=None)
+    assert platform.sent == []
+    assert platform.total == 12
 
 
 def test_servers_that_are_not_cheaper_are_not_ordered() -> None:
-    market = Market()
-    market.planner.limits = LIMITS._replace(cheap_price=1.0)
-    market.play(20, open_requests=0)
-    assert market.total == 12
+    platform = FakePlatform()
+    platform.planner.limits = LIMITS._replace(cheap_price=1.0)
+    platform.play(20, open_requests=0)
+    assert platform.total == 12
     assert not any(
-        number for (_, kind), number in market.counts.items() if kind == "cheap"
+        number for (_, kind), number in platform.counts.items() if kind == "cheap"
     )
 
 
 def test_empty_list_orders_nothing() -> None:
-    """After an outage of the store its list is empty for a moment. Taken for the fleet,
-    it would shrink to the least that the limits allow.
+    """After an outage of the store the list is empty for a moment.
+
+    If that counted as the fleet, it would be reduced to the minimum of the limits.
     """
     planner = ZonalPlanner(PoolName("lm"), LIMITS)
     assert planner.step([], 40.0, 0.0) == []
     assert planner.planned_total == 0
 
 
-def test_list_that_fills_slowly_gives_no_server_back() -> None:
-    """The holder's first list has two of the six servers, the others come in seconds.
+def test_list_that_fills_slowly_removes_no_server() -> None:
+    """The new holder's first list has two of six servers; the others appear in seconds.
 
-    A plan for two gave the others back, and the first callers queued at what was left.
+    A plan for two would remove the others, and the first callers would queue.
     """
-    market = Market(each=0)
-    market.counts[A, "on_demand"] = 2
-    market.play(1.5, open_requests=0)
-    market.counts[B, "on_demand"] = 2
-    market.play(1, open_requests=0)
-    market.counts[C, "on_demand"] = 2
-    market.play(15, open_requests=0)
-    assert market.total == 12
-    assert not [w for w in market.sent if w.kind == "on_demand" and w.number < 1]
+    platform = FakePlatform(each=0)
+    platform.counts[A, "on_demand"] = 2
+    platform.play(1.5, open_requests=0)
+    platform.counts[B, "on_demand"] = 2
+    platform.play(1, open_requests=0)
+    platform.counts[C, "on_demand"] = 2
+    platform.play(15, open_requests=0)
+    assert platform.total == 12
+    assert not [w for w in platform.sent if w.kind == "on_demand" and w.number < 1]
 
 
 def test_zone_with_a_price_and_no_server_of_the_pool_is_not_ordered_in() -> None:
-    """The prices name every zone of the platform, the pool runs in two of them."""
-    market = Market()
-    del market.counts[C, "on_demand"]
-    market.play(20, open_requests=0)
-    assert not any(item.zone == C for item in market.sent)
-    assert market.total == 8
+    """The prices include every zone of the platform, but the pool runs in two."""
+    platform = FakePlatform()
+    del platform.counts[C, "on_demand"]
+    platform.play(20, open_requests=0)
+    assert not any(item.zone == C for item in platform.sent)
+    assert platform.total == 8
 
 
-def test_successor_that_finds_half_a_fleet_in_a_burst_gives_nothing_back() -> None:
-    """The holder is killed in a burst, as servers crash and a zone is reclaimed.
+def test_successor_that_finds_half_a_fleet_in_a_burst_removes_nothing() -> None:
+    """The holder is killed during a burst, while servers crash and a zone is reclaimed.
 
-    Its successor finds six of twelve servers. Were those the plan, small steps of the
-    demand would not change it, and cheap servers that are coming would be given back.
+    Its successor finds six of twelve servers. If those were the plan, small changes of
+    the demand would not correct it, and cheap servers that are starting would be
+    removed.
     """
-    market = Market()
-    market.play(20, open_requests=50)
-    market.counts[A, "cheap"] = market.counts[B, "cheap"] = 0
-    market.planner = ZonalPlanner(PoolName("lm"), LIMITS)
-    market.sent.clear()
-    market.play(OBSERVATION_S + LIMITS.start_s + 4, open_requests=40)
-    assert market.total >= 8
-    assert not [w for w in market.sent if w.zone == C]
+    platform = FakePlatform()
+    platform.play(20, open_requests=50)
+    platform.counts[A, "cheap"] = platform.counts[B, "cheap"] = 0
+    platform.planner = ZonalPlanner(PoolName("lm"), LIMITS)
+    platform.sent.clear()
+    platform.play(OBSERVATION_S + LIMITS.start_s + 4, open_requests=40)
+    assert platform.total >= 8
+    assert not [w for w in platform.sent if w.zone == C]
 
 
 def test_successor_plans_at_once_for_the_demand_that_it_finds() -> None:
-    """A rise of a sixth, which the holder before let pass as too small a step.
+    """Demand rises by a sixth, which is too small a step for the previous holder.
 
-    The new one's first plan is no step, and knows no other. It orders what is missing,
-    and gives nothing back.
+    The successor has no earlier plan to compare with. It orders what is missing and
+    removes nothing.
     """
-    market = Market()
-    market.play(20, open_requests=45)
-    assert market.total == 12
-    before = market.counts.copy()
-    market.planner = ZonalPlanner(PoolName("lm"), LIMITS)
-    market.play(
+    platform = FakePlatform()
+    platform.play(20, open_requests=45)
+    assert platform.total == 12
+    before = platform.counts.copy()
+    platform.planner = ZonalPlanner(PoolName("lm"), LIMITS)
+    platform.play(
         OBSERVATION_S + LIMITS.start_s + 4, open_requests=14 * OPEN_REQUESTS_PER_SERVER
     )
-    assert market.total == 14
-    assert all(market.counts[place] >= number for place, number in before.items())
+    assert platform.total == 14
+    assert all(platform.counts[place] >= number for place, number in before.items())
 
 
 def test_other_zones_take_over_from_an_evacuated_one() -> None:
-    """Its servers serve nobody, and neither more nor fewer of them are ordered there."""
-    market = Market()
-    market.play(20, open_requests=30)
-    before = dict(market.counts)
-    market.closed = {B}
-    market.sent.clear()
-    market.play(10, open_requests=30)
-    assert not [item for item in market.sent if item.zone == B]
-    outside = sum(n for (zone, _), n in market.counts.items() if zone != B)
+    """Servers of the evacuated zone get no requests, and their number stays."""
+    platform = FakePlatform()
+    platform.play(20, open_requests=30)
+    before = dict(platform.counts)
+    platform.closed = {B}
+    platform.sent.clear()
+    platform.play(10, open_requests=30)
+    assert not [item for item in platform.sent if item.zone == B]
+    outside = sum(n for (zone, _), n in platform.counts.items() if zone != B)
     assert outside == sum(before.values())
 
 
-def test_servers_of_a_zone_that_is_given_back_are_planned_for_again() -> None:
-    market = Market()
-    market.play(20, open_requests=60)
-    before = dict(market.counts)
-    market.closed = {B}
-    market.play(10, open_requests=60)
-    market.closed = set()
-    market.play(10, open_requests=60)
-    assert market.counts == before
+def test_servers_of_a_zone_are_planned_again_after_its_evacuation_ends() -> None:
+    platform = FakePlatform()
+    platform.play(20, open_requests=60)
+    before = dict(platform.counts)
+    platform.closed = {B}
+    platform.play(10, open_requests=60)
+    platform.closed = set()
+    platform.play(10, open_requests=60)
+    assert platform.counts == before
 
 
 def test_nothing_is_ordered_while_all_zones_are_evacuated() -> None:
-    market = Market()
-    market.play(20, open_requests=30)
-    market.closed = {A, B, C}
-    market.sent.clear()
-    market.play(10, open_requests=90)
-    assert market.sent == []
+    platform = FakePlatform()
+    platform.play(20, open_requests=30)
+    platform.closed = {A, B, C}
+    platform.sent.clear()
+    platform.play(10, open_requests=90)
+    assert platform.sent == []
--- a/tests/test_zonal_duty.py
+++ b/tests/test_zonal_duty.py
@@ -1,4 +1,4 @@
-"""Numbers of servers are sent by one holder at a time, whatever the platform answers."""
+"""Desired numbers are sent by one lease holder at a time, for any platform answer."""
 
 from dataclasses import dataclass, field
 
@@ -28,17 +28,17 @@
 
 
 @dataclass
-class Platform:
-    """Takes numbers, or fails as it is told."""
+class FakePlatform:
+    """Accepts numbers, fails or hangs, as the test configures."""
 
     fails: PlatformError | None = None
     hangs: bool = False
-    taken: list[tuple[Wanted, int]] = field(default_factory=list)
+    orders: list[tuple[Wanted, int]] = field(default_factory=list)
 
     async def order_servers(
         self, pool: PoolName, wanted: Wanted, fence: int
     ) -> OrderOutcome:
-        self.taken.append((wanted, fence))
+        self.orders.append((wanted, fence))
         if self.hangs:
             await anyio.sleep_forever()
         if self.fails is not None:
@@ -46,11 +46,11 @@
         return OrderOutcome.DONE
 
 
-class Orders:
-    """A duty with its platform, clock and lease, played round by round."""
+class DutyHarness:
+    """A duty with a platform, a clock and a lease, run round by round."""
 
     def __init__(self) -> None:
-        self.platform = Platform()
+        self.platform = FakePlatform()
         self.clock = ManualClock()
         self.lease = FakeGuard(1, fence=7)
         servers = {
@@ -68,71 +68,72 @@
         )
 
     async def round(self, after_s: float) -> list[tuple[Wanted, int]]:
-        """Play one round, and return what was sent in it."""
+        """Run one round; return the numbers sent in it."""
         self.clock.advance(after_s)
-        self.platform.taken.clear()
+        self.platform.orders.clear()
         for planner in self.duty.update_planners():
             await self.duty.run_round(planner, self.lease)
-        return list(self.platform.taken)
+        return list(self.platform.orders)
 
 
 @pytest.fixture
-async def orders() -> Orders:
-    """Return a duty that has watched the list for long enough to plan."""
-    orders = Orders()
-    assert await orders.round(0.0) == []
-    return orders
+async def harness() -> DutyHarness:
+    """Return a duty that has read the list for the observation period."""
+    harness = DutyHarness()
+    assert await harness.round(0.0) == []
+    return harness
 
 
 CHEAP = Wanted(ZoneName("a"), "cheap", 2)
 
 
-async def test_holder_sends_the_number_with_its_fence(orders: Orders) -> None:
-    assert await orders.round(OBSERVATION_S + 0.1) == [(CHEAP, 7)]
-    assert await orders.round(0.5) == []
+async def test_holder_sends_the_number_with_its_fence(harness: DutyHarness) -> None:
+    assert await harness.round(OBSERVATION_S + 0.1) == [(CHEAP, 7)]
+    assert await harness.round(0.5) == []
 
 
-async def test_deposed_holder_sends_no_number(orders: Orders) -> None:
-    """The process is paused past its lease, and its plan is due as it wakes up.
+async def test_deposed_holder_sends_no_number(harness: DutyHarness) -> None:
+    """The process is paused beyond its lease, and resumes when a plan is due.
 
-    A successor gives orders by then. The lease is asked in the last step before each.
+    A successor may send orders by then, so the lease is checked directly before each
+    order.
     """
-    orders.lease.fence = None
-    assert await orders.round(OBSERVATION_S + 0.1) == []
+    harness.lease.fence = None
+    assert await harness.round(OBSERVATION_S + 0.1) == []
 
 
 @pytest.mark.parametrize(
     "error", [PlatformUnavailable("away"), PlatformOutcomeUnknown("no answer")]
 )
 async def test_number_that_may_not_have_arrived_is_sent_again(
-    orders: Orders, error: PlatformError
+    harness: DutyHarness, error: PlatformError
 ) -> None:
-    orders.platform.fails = error
-    assert await orders.round(OBSERVATION_S + 0.1) == [(CHEAP, 7)]
-    orders.platform.fails = None
-    assert await orders.round(0.5) == []
-    assert await orders.round(FAILURE_BACKOFF_S) == [(CHEAP, 7)]
-    assert await orders.round(0.5) == []
+    harness.platform.fails = error
+    assert await harness.round(OBSERVATION_S + 0.1) == [(CHEAP, 7)]
+    harness.platform.fails = None
+    assert await harness.round(0.5) == []
+    assert await harness.round(FAILURE_BACKOFF_S) == [(CHEAP, 7)]
+    assert await harness.round(0.5) == []
 
 
-async def test_order_without_an_answer_ends_before_the_lease_can_pass_on(
-    orders: Orders,
+async def test_order_without_an_answer_times_out_before_the_lease_can_change_hands(
+    harness: DutyHarness,
 ) -> None:
-    orders.platform.hangs = True
+    harness.platform.hangs = True
     with anyio.fail_after(5):
-        await orders.round(OBSERVATION_S + 0.1)
-    orders.platform.hangs = False
-    assert await orders.round(FAILURE_BACKOFF_S) == [(CHEAP, 7)]
+        await harness.round(OBSERVATION_S + 0.1)
+    harness.platform.hangs = False
+    assert await harness.round(FAILURE_BACKOFF_S) == [(CHEAP, 7)]
 
 
-async def test_pool_that_may_no_longer_be_ordered_is_left_alone(
-    orders: Orders,
+async def test_pool_without_limits_is_no_longer_ordered(
+    harness: DutyHarness,
 ) -> None:
-    orders.duty.limits = dict
-    assert await orders.round(OBSERVATION_S + 0.1) == []
+    harness.duty.limits = dict
+    assert await harness.round(OBSERVATION_S + 0.1) == []
 
 
-def test_demand_adds_up_what_entries_said_and_is_unknown_without_them() -> None:
+def test_demand_sums_the_reports_of_entries_and_is_unknown_without_any() -> None:
     assert open_requests([{OPEN: {"lm": 3}}, {OPEN: {"app": 1}}, {}], POOL) == 3
     assert open_requests([{}], POOL) is None
     assert open_requests([], POOL) is None
