--- a/src/godwitmast/admission/__init__.py
+++ b/src/godwitmast/admission/__init__.py
@@ -1,1 +1,1 @@
-"""What is let in, what waits and for how long, and what is turned away."""
+"""Admission control: which requests wait, start, are refused or are preempted."""
