--- a/src/godwitmast/dispatch/__init__.py
+++ b/src/godwitmast/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Where admitted work goes, and what happens when it fails there."""
+"""Choice of the server for an admitted request, and recovery when its attempt fails."""
--- a/src/godwitmast/dispatch/evictions.py
+++ b/src/godwitmast/dispatch/evictions.py
@@ -1,48 +1,52 @@
 """Moves streams off a server before it is taken away.
 
 Load pattern: a zone of cheap servers gets 5 s of notice. Without a plan all its streams
-break at once at the end, and their prompts are read again elsewhere in one burst that
-delays every stream there. To move them all at the notice makes the same burst at once,
-and reads again prompts of answers that would have ended in time.
-
-So each stream goes on while it can, and those that are left are moved over the last
-part of the notice, evenly: those with the fewest tokens first, as they have the most
-left to say and the least to be read again.
+break at the same time at the end, and their prompts are prefilled again elsewhere in
+one burst that delays every stream there. Moving all of them at the notice causes the
+same burst at once, and prefills again the prompts of answers that would have ended in
+time.
+
+So each stream continues as long as it can, and those that have not ended are moved at
+an even rate over the last part of the notice: those with the fewest tokens first, as
+they have the most tokens to generate and the fewest to prefill again.
 """
 
 from typing import NamedTuple
 
-from godwitmast.dispatch.flights import Flight
+from godwitmast.dispatch.flights import ActiveRequest
 from godwitmast.types import BackendId
 
-SAFETY_S = 1.0
-"""All are off the server this long before its end: clocks differ, and so do notices."""
+SAFETY_MARGIN_S = 1.0
+"""All streams are off the server this long before its removal, since clocks and notices
+differ."""
 
-STAY_SHARE = 0.25
-"""The first part of the notice in which nothing is moved."""
+NO_MOVE_SHARE = 0.25
+"""First part of the notice, in which nothing is moved."""
 
 
-class Notice(NamedTuple):
-    """A server's end, and when it was learned of."""
+class RemovalNotice(NamedTuple):
+    """A server's announced removal, and when the announcement was received."""
 
     backend_id: BackendId
-    heard_at: float
-    gone_at: float
-
-    def to_leave(self, flights: list[Flight], now: float) -> list[Flight]:
-        """Return the flights that are to be moved by `now`."""
-        end = self.gone_at - SAFETY_S
-        begin = self.heard_at + STAY_SHARE * max(0.0, end - self.heard_at)
-        movable = [flight for flight in flights if flight.may_move]
+    received_at: float
+    removal_at: float
+
+    def select_to_move(
+        self, running: list[ActiveRequest], now: float
+    ) -> list[ActiveRequest]:
+        """Return the requests that are to be moved by `now`."""
+        end = self.removal_at - SAFETY_MARGIN_S
+        begin = self.received_at + NO_MOVE_SHARE * max(0.0, end - self.received_at)
+        movable = [active for active in running if active.may_move]
         if now < begin or not movable:
             return []
-        left = end - now
-        if left <= 0:
+        left_s = end - now
+        if left_s <= 0:
             return movable
-        # What is left is spread over the time that is left, in steps of a tick.
-        count = max(1, round(len(movable) * min(1.0, STEP_S / left)))
-        return sorted(movable, key=lambda flight: flight.tokens)[:count]
+        # The remaining requests are spread evenly over the ticks of the remaining time.
+        count = max(1, round(len(movable) * min(1.0, TICK_S / left_s)))
+        return sorted(movable, key=lambda active: active.tokens)[:count]
 
 
-STEP_S = 0.05
-"""How often the router looks; see `entry.driver.TICK_S`."""
+TICK_S = 0.05
+"""Interval between calls by the router; see `entry.driver.TICK_S`."""
--- a/src/godwitmast/dispatch/flights.py
+++ b/src/godwitmast/dispatch/flights.py
@@ -1,4 +1,5 @@
-"""The requests that were let in, by their ids and by the servers they run on."""
+"""The admitted requests that have not ended, by id and by the server on which they
+run."""
 
 from dataclasses import dataclass, field
 
@@ -8,34 +9,34 @@
 
 
 @dataclass(slots=True)
-class Flight:
-    """A request that was let in and has not ended.
+class ActiveRequest:
+    """An admitted request that has not ended.
 
-    `tokens` are those that its caller has; the times are of the present attempt.
+    `tokens` counts those that its caller has; the times are of the current attempt.
     """
 
     request: RequestSpec
-    target: RequestClass
+    request_class: RequestClass
     attempt_id: AttemptId | None = None
     backend_id: BackendId | None = None
     failures: int = 0
-    unsent: int = 0
+    unsent_failures: int = 0
     tokens: int = 0
     may_have_run: bool = False
-    runs: int = 0
-    """Servers that may have run it, the present one among them."""
+    run_count: int = 0
+    """Servers that may have run it, including the current one."""
     avoid: set[BackendId] = field(default_factory=set)
     started_at: float = 0.0
     first_token_at: float | None = None
     last_token_at: float = 0.0
-    unread: float = 0.0
-    """Tokens of the prompt that the present server has still to read."""
+    pending_tokens: float = 0.0
+    """Prompt tokens that the current server has still to prefill."""
 
     @property
     def may_move(self) -> bool:
-        """Return whether the attempt may be ended and run again elsewhere.
+        """Return whether the attempt may be cancelled and run again elsewhere.
 
-        A non-idempotent call may not: its bytes may have left, and may have run.
+        A non-idempotent request may not: it may have been sent, and may have run.
         """
         running = self.request.idempotent and self.attempt_id is not None
         return running and self.may_run_again
@@ -44,59 +45,63 @@
     def may_run_again(self) -> bool:
         """Return whether its route allows another server to run it."""
         most = self.request.attempts
-        return most is None or self.runs < most
+        return most is None or self.run_count < most
 
 
-class FlightBook:
-    """All flights."""
+class ActiveRequests:
+    """All active requests."""
 
     def __init__(self) -> None:
-        self.flights: dict[RequestId, Flight] = {}
-        self.aboard: dict[BackendId, dict[RequestId, Flight]] = {}
-        self.last_attempt = 0
+        self.by_id: dict[RequestId, ActiveRequest] = {}
+        self.by_server: dict[BackendId, dict[RequestId, ActiveRequest]] = {}
+        self.last_attempt_id = 0
 
-    def add(self, flight: Flight) -> None:
-        self.flights[flight.request.request_id] = flight
+    def add(self, active: ActiveRequest) -> None:
+        self.by_id[active.request.request_id] = active
 
-    def get(self, request_id: RequestId) -> Flight | None:
-        return self.flights.get(request_id)
+    def get(self, request_id: RequestId) -> ActiveRequest | None:
+        return self.by_id.get(request_id)
 
-    def remove(self, flight: Flight) -> None:
-        del self.flights[flight.request.request_id]
+    def remove(self, active: ActiveRequest) -> None:
+        del self.by_id[active.request.request_id]
 
-    def owner(self, request_id: RequestId, attempt_id: AttemptId) -> Flight | None:
-        """Return the request if `attempt_id` still owns its caller's stream.
+    def find_attempt(
+        self, request_id: RequestId, attempt_id: AttemptId
+    ) -> ActiveRequest | None:
+        """Return the request if `attempt_id` is its current attempt.
 
-        An attempt that was cancelled may still report; what it says must not end or
-        feed the attempt that took its place.
+        A cancelled attempt may still report; its report must not end or continue the
+        attempt that replaced it.
         """
-        flight = self.flights.get(request_id)
-        if flight is None or flight.attempt_id != attempt_id:
+        active = self.by_id.get(request_id)
+        if active is None or active.attempt_id != attempt_id:
             return None
-        return flight
-
-    def board(self, flight: Flight, backend_id: BackendId, now: float) -> AttemptId:
-        """Begin a new attempt on a server."""
-        self.last_attempt += 1
-        flight.attempt_id = AttemptId(self.last_attempt)
-        flight.backend_id = backend_id
-        flight.started_at = flight.last_token_at = now
-        flight.first_token_at = None
-        flight.runs += 1
-        self.aboard.setdefault(backend_id, {})[flight.request.request_id] = flight
-        return flight.attempt_id
-
-    def leave(self, flight: Flight) -> BackendId | None:
-        """End the flight's attempt; return the server that it was on."""
-        backend_id = flight.backend_id
+        return active
+
+    def start_attempt(
+        self, active: ActiveRequest, backend_id: BackendId, now: float
+    ) -> AttemptId:
+        """Start a new attempt on a server."""
+        self.last_attempt_id += 1
+        active.attempt_id = AttemptId(self.last_attempt_id)
+        active.backend_id = backend_id
+        active.started_at = active.last_token_at = now
+        active.first_token_at = None
+        active.run_count += 1
+        self.by_server.setdefault(backend_id, {})[active.request.request_id] = active
+        return active.attempt_id
+
+    def end_attempt(self, active: ActiveRequest) -> BackendId | None:
+        """End the request's attempt; return the server that it ran on."""
+        backend_id = active.backend_id
         if backend_id is not None:
-            aboard = self.aboard[backend_id]
-            del aboard[flight.request.request_id]
-            if not aboard:
-                del self.aboard[backend_id]
-        flight.attempt_id = flight.backend_id = None
+            on_server = self.by_server[backend_id]
+            del on_server[active.request.request_id]
+            if not on_server:
+                del self.by_server[backend_id]
+        active.attempt_id = active.backend_id = None
         return backend_id
 
-    def on(self, backend_id: BackendId) -> list[Flight]:
-        """Return the flights on a server, oldest attempt first."""
-        return list(self.aboard.get(backend_id, {}).values())
+    def on(self, backend_id: BackendId) -> list[ActiveRequest]:
+        """Return the requests that run on a server, oldest attempt first."""
+        return list(self.by_server.get(backend_id, {}).values())
--- a/src/godwitmast/dispatch/limits.py
+++ b/src/godwitmast/dispatch/limits.py
@@ -1,140 +1,153 @@
-"""Learns how much work a backend server serves at speed.
+"""A learned limit on the requests that a backend server runs within its targets.
 
-Load pattern: a burst, or long prompts among short ones. An engine takes whatever it is
-sent; past some number of sequences each of its steps takes too long, and every stream
-on it misses its time between tokens at once. Work that waits in an engine cannot be
-reordered or moved any more, so a burst of drafts would stand before the next question.
+Load pattern: a burst, or long prompts among short ones. An engine accepts whatever it
+is sent; above some number of sequences each of its steps takes too long, and every
+stream on it exceeds its inter-token gap at the same time. Requests that wait inside an
+engine can no longer be reordered or moved, so that a burst of drafts would run before
+the next question.
 
-The limit counts all work on the server: our own, and what other entries have there by
-its report. It follows the measured time between tokens, window by window:
+The limit counts all requests on the server: our own, and other entries' according to
+its load report. It follows the measured inter-token gap, window by window:
 
-- Above the target with the limit in use, it is scaled by target over measured (a
-  gradient, as in Netflix's concurrency-limits), by `MAX_CUT` at most. With the limit
-  not in use, a slow window comes from long prompts rather than from too many requests,
-  and takes a tenth off at most, never below what is there.
+- Above the target with the limit in use, it is multiplied by target over measured (a
+  gradient, as in Netflix's concurrency-limits), but by no less than `MIN_CUT_FACTOR`.
+  With the limit not in use, a slow window is caused by long prompts rather than by too
+  many requests, and lowers the limit by a tenth at most, never below the current load.
 - Below the target, with the limit in use, it rises by one (additive increase). Entries
-  that share a server this way converge to like shares: Chiu and Jain, "Analysis of the
+  that share a server converge to equal shares this way: Chiu and Jain, "Analysis of the
   Increase and Decrease Algorithms", 1989.
-- Where the engine says twice in a row that a good part of its requests wait inside it,
-  or first tokens come late, a tenth is taken off each time. One report is not enough:
-  a request that came between two batch steps waits for some milliseconds in any engine.
+- If the engine reports twice in a row that a good part of its requests wait inside it,
+  or first tokens are late, the limit is lowered by a tenth each time. One report is not
+  enough: a request that arrived between two batch steps waits for some milliseconds in
+  any engine.
 """
 
 import math
 from dataclasses import dataclass
 
 START_LIMIT = 8.0
-"""What a server is trusted with before anything was measured: the batch of a small
-engine. A larger engine gains one a window, so some four a second."""
+"""Limit before anything is measured: the batch of a small engine. A larger engine gains
+one per window, so some four a second."""
 
-SLOW_START_LIMIT = 4.0
-"""What a server is trusted with on its return, as whatever made it leave may last."""
+READMISSION_LIMIT = 4.0
+"""Limit of a server that is readmitted, as the cause of its ejection may persist."""
 
 MIN_LIMIT = 2.0
 MAX_LIMIT = 512.0
 
 TARGET_SHARE = 0.9
-"""The part of the target that is aimed at: requests vary around their mean."""
+"""Share of the target that is aimed at, since requests vary around their mean."""
 
 RISE_SHARE = 0.95
-"""Below this part of the aim the limit rises. Between the two it rests."""
+"""Below this share of the aim the limit rises; between the two it does not change."""
 
-MAX_CUT = 0.7
-DECAY = 0.9
+MIN_CUT_FACTOR = 0.7
+DECAY_FACTOR = 0.9
 WAITING_SHARE = 0.25
 IN_USE_SHARE = 0.8
-"""A limit that is not used this far says nothing of what lies beyond it."""
+"""If less than this share of the limit is in use, a measurement shows nothing about a
+higher limit."""
 
-BASE_FACTOR = 1.5
-"""Never aim below this many times the pace of the idle server. A target that it cannot
-meet even then would else bring the limit to its least, and gain nothing."""
+MIN_AIM_FACTOR = 1.5
+"""Smallest aim as a multiple of the idle server's gap. A target that the server cannot
+meet even when idle would otherwise lower the limit to `MIN_LIMIT` for no gain."""
 
-DEFAULT_FACTOR = 3.0
-"""The aim as a multiple of the idle pace, where no class names a target."""
+DEFAULT_AIM_FACTOR = 3.0
+"""Aim as a multiple of the idle gap if no class sets a target."""
 
-LATENCY_FACTOR = 2.0
-"""For plain services: the latency, as a multiple of the idle one, that is too much."""
+LATENCY_AIM_FACTOR = 2.0
+"""For plain services: highest acceptable latency as a multiple of the idle one."""
 
 LATENCY_STEP = 0.05
-"""A plain answer moves the limit by this, where a window of many tokens moves it by 1."""
+"""An answer without tokens raises the limit by this much, where a window of many tokens
+raises it by 1."""
 
-IDLE_USED = 2.0
-"""A server with so few requests shows its idle pace. Taking the best pace at any load
-for it let the aim drift up with the load, to twice the target."""
+IDLE_MAX_REQUESTS = 2.0
+"""A server with at most this many requests shows its idle gap. Using the best gap at
+any load instead let the aim drift up with the load, to twice the target."""
 
 IDLE_WEIGHT = 0.1
 
 
 @dataclass(slots=True)
 class ServerLimit:
-    """The number of requests that one server serves at speed."""
+    """The number of requests that one server runs within its targets."""
 
     value: float = START_LIMIT
-    base_s: float | None = None
-    waited: bool = False
+    idle_pace_s: float | None = None
+    had_waiting: bool = False
     fixed: bool = False
-    """The server said how many it runs at a time, so that nothing is to be learned."""
+    """The server reported how many requests it runs at a time, so that nothing is
+    learned."""
 
-    def paced(self, gap_s: float, used: float, target_s: float | None) -> None:
-        """Take a window's mean time between tokens, with `used` requests there."""
+    def record_gap(self, gap_s: float, load: float, target_s: float | None) -> None:
+        """Adjust to a window's mean inter-token gap, measured with `load` requests."""
         if self.fixed:
             return
-        self.note_base(gap_s, used)
-        base_s = self.base_s or 0.0
+        self.update_idle_pace(gap_s, load)
+        idle_pace_s = self.idle_pace_s or 0.0
         if target_s is not None:
-            aim = max(target_s * TARGET_SHARE, base_s * BASE_FACTOR)
+            aim = max(target_s * TARGET_SHARE, idle_pace_s * MIN_AIM_FACTOR)
         else:
-            aim = base_s * DEFAULT_FACTOR or math.inf
-        self.move(gap_s, aim, used)
+            aim = idle_pace_s * DEFAULT_AIM_FACTOR or math.inf
+        self.adjust(gap_s, aim, load)
 
-    def answered(self, latency_s: float, used: float) -> None:
-        """Take the latency of an answer from a server without tokens."""
+    def record_latency(self, latency_s: float, load: float) -> None:
+        """Adjust to the latency of an answer without tokens."""
         if self.fixed:
             return
-        self.note_base(latency_s, used)
-        aim = (self.base_s or math.inf) * LATENCY_FACTOR
-        self.move(latency_s, aim, used, LATENCY_STEP)
-
-    def note_base(self, seconds: float, used: float) -> None:
-        """Follow the pace of the idle server, and any better one."""
-        if self.base_s is None or seconds < self.base_s:
-            if self.base_s is not None or used <= IDLE_USED:
-                self.base_s = seconds
-        elif used <= IDLE_USED:
-            self.base_s += IDLE_WEIGHT * (seconds - self.base_s)
-
-    def move(self, measured: float, aim: float, used: float, step: float = 1.0) -> None:
-        in_use = used >= self.value * IN_USE_SHARE
+        self.update_idle_pace(latency_s, load)
+        aim = (self.idle_pace_s or math.inf) * LATENCY_AIM_FACTOR
+        self.adjust(latency_s, aim, load, LATENCY_STEP)
+
+    def update_idle_pace(self, seconds: float, load: float) -> None:
+        """Update the gap or latency of the idle server with a measurement.
+
+        A smaller value is taken over at any load once an idle one is known.
+        """
+        if self.idle_pace_s is None or seconds < self.idle_pace_s:
+            if self.idle_pace_s is not None or load <= IDLE_MAX_REQUESTS:
+                self.idle_pace_s = seconds
+        elif load <= IDLE_MAX_REQUESTS:
+            self.idle_pace_s += IDLE_WEIGHT * (seconds - self.idle_pace_s)
+
+    def adjust(
+        self, measured: float, aim: float, load: float, step: float = 1.0
+    ) -> None:
+        in_use = load >= self.value * IN_USE_SHARE
         if measured > aim and in_use:
-            self.value = max(MIN_LIMIT, self.value * max(MAX_CUT, aim / measured))
+            self.value = max(
+                MIN_LIMIT, self.value * max(MIN_CUT_FACTOR, aim / measured)
+            )
         elif measured > aim:
-            self.value = max(MIN_LIMIT, used, self.value * DECAY)
+            self.value = max(MIN_LIMIT, load, self.value * DECAY_FACTOR)
         elif measured < aim * RISE_SHARE and in_use:
             self.value = min(MAX_LIMIT, self.value + step)
 
-    def reported(self, running: int, waiting: int) -> None:
-        """Take how many requests the engine runs, and how many wait inside it."""
+    def record_report(self, running: int, waiting: int) -> None:
+        """Record how many requests the engine runs, and how many wait inside it."""
         if self.fixed:
             return
-        waits = waiting > max(1.0, running * WAITING_SHARE)
-        if waits and self.waited:
+        has_waiting = waiting > max(1.0, running * WAITING_SHARE)
+        if has_waiting and self.had_waiting:
             self.value = max(MIN_LIMIT, min(self.value, max(running, self.decayed)))
-        self.waited = waits
+        self.had_waiting = has_waiting
 
-    def late(self, used: float) -> None:
-        """Take that first tokens come late with `used` requests on the server.
+    def record_late_first_token(self, load: float) -> None:
+        """Lower the limit because first tokens are late with `load` requests on the
+        server.
 
-        An engine whose batch is full keeps its time between tokens, whatever waits
-        inside it: only this tells that the limit lies above the batch.
+        An engine whose batch is full keeps its inter-token gap, however many requests
+        wait inside it: only late first tokens show that the limit exceeds the batch.
         """
         if not self.fixed:
-            self.value = max(MIN_LIMIT, min(self.value, used * DECAY))
+            self.value = max(MIN_LIMIT, min(self.value, load * DECAY_FACTOR))
 
     @property
     def decayed(self) -> float:
-        return self.value * DECAY
+        return self.value * DECAY_FACTOR
 
-    def restart(self) -> None:
-        """Begin again, carefully, for a server that was away."""
+    def reset(self) -> None:
+        """Lower the limit of a server that is readmitted, unless it is fixed."""
         if not self.fixed:
-            self.value = SLOW_START_LIMIT
+            self.value = READMISSION_LIMIT
--- a/src/godwitmast/dispatch/loads.py
+++ b/src/godwitmast/dispatch/loads.py
@@ -1,14 +1,14 @@
-"""Estimates what other entries have on a server, from its lagging load reports.
+"""An estimate of other entries' requests on a server, from its delayed load reports.
 
 Load pattern: several entries share the same servers, and none sees the others' queues.
-If each trusted only its own count, nine entries would each fill a server that has room
-for one entry's work. If each trusted the newest report as it stands, all of them would
-send to whichever server the reports call idle, until the next reports say otherwise.
+If each relied on its own count alone, nine entries would each fill a server that has
+room for one entry's requests. If each relied on the latest report alone, all of them
+would send to the server that it shows as idle, until the next reports arrive.
 
-So a report is corrected for what was ours in it, counts less with age, and what it
-leaves free is not all ours to take: of the room that others might take as well, an
-entry claims its share, rounded at random, so that many entries together claim about
-the whole.
+So our own requests are subtracted from a report, its weight decays with age, and this
+entry uses only part of the room that it shows: of the room that others might use as
+well, an entry claims its share, rounded at random, so that many entries together claim
+about the whole.
 """
 
 import math
@@ -18,64 +18,68 @@
 from godwitmast.dispatch.messages import LoadReport
 
 HALF_LIFE_S = 4.0
-"""A report of this age counts half. Reports come each second and lag another: an answer
-takes some seconds, so after four about half of what was reported has ended."""
+"""A report of this age counts half. Reports are made each second and arrive about a
+second later; an answer takes some seconds, so that after four about half of the
+reported requests have ended."""
 
 OWN_SMOOTHING_S = 1.0
-"""Our own count is smoothed over the reports' usual age, to be subtracted from them."""
+"""Our own count is smoothed over the usual age of reports, from which it is
+subtracted."""
 
-FRESH_S = 0.2
-"""From a report of this age, such as came with an answer, our count as it is now."""
+FRESH_AGE_S = 0.2
+"""From a report younger than this, such as one that came with an answer, our current
+count is subtracted."""
 
-LEAST_SHARE = 0.1
-"""An entry with nothing on a server still claims this part of its room: with eight or
-nine entries, about its equal share."""
+MIN_CLAIM_SHARE = 0.1
+"""An entry with no request on a server still claims this share of its room: about an
+equal share with eight or nine entries."""
 
 
 @dataclass(slots=True)
 class OtherLoad:
-    """What is on one server beside our own requests."""
+    """Estimate of the requests on one server that are not our own."""
 
     others: float = 0.0
     reported_at: float = -math.inf
-    own_mean: float = 0.0
-    own_mean_at: float = 0.0
-    claims: float = math.inf
+    smoothed_own: float = 0.0
+    smoothed_at: float = 0.0
+    claimable: float = math.inf
+    """Requests that this entry may still send before the next report."""
 
-    def own_changed(self, in_flight: int, now: float) -> None:
-        """Take our own count before it changes."""
-        past = max(0.0, now - self.own_mean_at)
+    def update_own(self, in_flight: int, now: float) -> None:
+        """Update the moving average of our own count, before the count changes."""
+        past = max(0.0, now - self.smoothed_at)
         weight = 1 - math.exp(-past / OWN_SMOOTHING_S)
-        self.own_mean += weight * (in_flight - self.own_mean)
-        self.own_mean_at = now
+        self.smoothed_own += weight * (in_flight - self.smoothed_own)
+        self.smoothed_at = now
 
-    def reported(
+    def record_report(
         self,
         report: LoadReport,
         in_flight: int,
         limit: float,
         now: float,
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
-        """Take a report; an older one than the last is dropped."""
+        """Apply a report, unless it is older than the last one."""
         made_at = now - report.age_s
         if made_at < self.reported_at:
             return
-        self.own_changed(in_flight, now)
+        self.update_own(in_flight, now)
         total = report.running + report.waiting
         self.reported_at = made_at
-        own = in_flight if report.age_s < FRESH_S else self.own_mean
+        own = in_flight if report.age_s < FRESH_AGE_S else self.smoothed_own
         self.others = max(0.0, total - own)
         if self.others < 1:
-            self.claims = math.inf
+            self.claimable = math.inf
             return
-        share = max(LEAST_SHARE, min(1.0, own / total))
+        share = max(MIN_CLAIM_SHARE, min(1.0, own / total))
         room = max(0.0, limit - self.estimate(now) - in_flight)
         whole, part = divmod(room * share, 1.0)
-        self.claims = whole + (draw.random() < part)
+        self.claimable = whole + (rng.random() < part)
 
     def estimate(self, now: float) -> float:
-        """Return how many requests of others are on the server, as far as is known."""
+        """Return the estimated number of other entries' requests on the server."""
         if not self.others:
             return 0.0
         return self.others * 0.5 ** ((now - self.reported_at) / HALF_LIFE_S)
--- a/src/godwitmast/dispatch/messages.py
+++ b/src/godwitmast/dispatch/messages.py
@@ -1,4 +1,5 @@
-"""What goes into the router and what comes out of it."""
+"""Inputs and actions of the router, and the updates on suspects that entries
+exchange."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -17,13 +18,13 @@
 
 
 class RequestSpec(NamedTuple):
-    """A request as the decisions see it.
+    """The properties of a request that routing decisions depend on.
 
     `arrived` and `deadline` are on the router's clock. `fingerprint` is the same for
-    the same team and body; `prefix` is the same for prompts that open alike. An answer
-    `streams` if the caller takes it token by token, and is `resumable` if another
-    attempt can go on where one ended. `attempts` is how many servers may run it at
-    most, if that is bounded.
+    the same team and body; `prefix` is the same for prompts with the same prefix. An
+    answer `streams` if the caller receives it token by token, and is `resumable` if
+    another attempt can continue where one ended. `attempts` is the largest number of
+    servers that may run it, if that is bounded.
     """
 
     request_id: RequestId
@@ -48,13 +49,13 @@
 
 
 class BackendSpec(NamedTuple):
-    """A backend server as the decisions see it.
+    """The properties of a backend server that routing decisions depend on.
 
-    A server that is leaving or `evacuated` gets no new work; `gone_at`, on the router's
-    clock, is when the platform takes it away, if it said so. `places` is how many
-    requests it runs at a time, if that is known. `cold_s` is how much longer it said
-    that it has to warm up, None if servers here do not say; another `incarnation` is
-    another start of the server.
+    A server that is leaving or `evacuated` gets no new requests; `removal_at`, on the
+    router's clock, is when the platform takes it away, if that is known. `places` is
+    how many requests it runs at a time, if that is known. `cold_s` is the remaining
+    warm-up time that it reported, None if servers of its pool do not report it; another
+    `incarnation` is another start of the server.
     """
 
     backend_id: BackendId
@@ -62,7 +63,7 @@
     pools: frozenset[str]
     cheap: bool = False
     leaving: bool = False
-    gone_at: float | None = None
+    removal_at: float | None = None
     places: int | None = None
     evacuated: bool = False
     cold_s: float | None = None
@@ -70,12 +71,12 @@
 
     @property
     def closed(self) -> bool:
-        """Return whether the server gets no new work."""
+        """Return whether the server gets no new requests."""
         return self.leaving or self.evacuated
 
 
 class LoadReport(NamedTuple):
-    """What a backend server said of itself; `age_s` is how old that already was."""
+    """A backend server's report of its load; `age_s` is its age on arrival."""
 
     running: int
     waiting: int
@@ -103,22 +104,22 @@
 
 
 class FailureKind(Enum):
-    """How an attempt failed, which decides whether it may be retried."""
+    """How an attempt failed, which determines whether it may be retried."""
 
     CONNECT = "connect"
-    """No byte of the request left."""
+    """No byte of the request was sent."""
     REFUSED = "refused"
-    """The backend server said that it did not run the request."""
+    """The backend server reported that it did not run the request."""
     CUT = "cut"
     """The connection broke after the request may have been read."""
     TIMEOUT = "timeout"
-    """Nothing came for too long."""
+    """Nothing arrived within the time-out."""
     ERROR = "error"
     """The backend server answered with an error of its own."""
 
 
 class CancelReason(Enum):
-    """Why the router ends an attempt."""
+    """Why the router cancels an attempt."""
 
     PREEMPTED = "preempted"
     CALLER_GONE = "caller_gone"
@@ -133,9 +134,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """Send the request to a backend server, from the token after `resume_from`.
+    """Send the request to a backend server, to be answered from the token after
+    `resume_from`.
 
-    The server is to copy what it lacks of the prompt from `fetch_from`, if that is set.
+    The server is to copy missing parts of the prompt from `fetch_from`, if that is set.
     """
 
     request_id: RequestId
@@ -147,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Tell the caller at once that it gets no answer, or no more of one."""
+    """Refuse the request: its caller gets no answer, or no more of one."""
 
     request_id: RequestId
     code: RefusalCode
@@ -157,7 +159,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """End an attempt; the request itself may go on with another one."""
+    """Cancel an attempt; its request may continue with another one."""
 
     request_id: RequestId
     attempt_id: AttemptId
@@ -168,23 +170,24 @@
 
 
 class Crash(NamedTuple):
-    """A server crashed `age_s` ago, while the suspect ran on it."""
+    """A crash of a server `age_s` seconds ago, while the suspect ran on it."""
 
     backend_id: BackendId
     age_s: float
 
 
 class Suspicion(NamedTuple):
-    """A request, by its fingerprint, was in flight on servers that crashed."""
+    """A request, by its fingerprint, that was in flight on servers when they
+    crashed."""
 
     fingerprint: str
     crashes: tuple[Crash, ...]
 
 
 class Placement(NamedTuple):
-    """A suspect runs on a server, which no other suspect may join for `left_s`.
+    """A suspect runs on a server, which no other suspect may use for `left_s` seconds.
 
-    `left_s` of 0 says that the suspect is off that server.
+    With `left_s` = 0 the suspect no longer runs on that server.
     """
 
     fingerprint: str
@@ -193,22 +196,22 @@
 
 
 class Quarantine(NamedTuple):
-    """Requests of a fingerprint are refused for `left_s` more seconds."""
+    """Requests with a fingerprint are refused for `left_s` more seconds."""
 
     fingerprint: str
     left_s: float
 
 
 class Clearance(NamedTuple):
-    """A suspect gave its whole answer `age_s` ago, so it crashes no server."""
+    """A suspect completed `age_s` seconds ago, so that it crashes no server."""
 
     fingerprint: str
     age_s: float
 
 
 PoisonNews = Suspicion | Placement | Quarantine | Clearance
-"""What entries tell each other about requests that may crash servers.
+"""Updates that entries exchange about requests that may crash servers.
 
-Times are ages and remaining seconds, since entries share no clock. Every message may
-come twice, late or out of order; to import one again changes nothing.
+Times are ages and remaining seconds, since entries have no common clock. Every message
+may arrive twice, late or out of order; applying one again changes nothing.
 """
--- a/src/godwitmast/dispatch/pace.py
+++ b/src/godwitmast/dispatch/pace.py
@@ -1,9 +1,9 @@
-"""Measures how fast servers give tokens, and what is usual in their pool.
+"""Inter-token gaps and first-token times of servers, and the usual ones of their pool.
 
-Load pattern: a straggler, an engine that works on at a tenth of its speed while its
-load report lags and looks fine. Without a comparison with its peers it keeps its part
-of the traffic, and each stream on it is late. An absolute bound would not do: when the
-whole pool is busy all servers are slow, and to eject them would make it worse.
+Load pattern: a straggler, an engine that runs at a tenth of its speed while its delayed
+load report looks normal. Unless it is compared with its peers it keeps its share of the
+traffic, and each stream on it is late. An absolute bound would not do: under high load
+all servers of a pool are slow, and ejecting them would make it worse.
 """
 
 from dataclasses import dataclass
@@ -11,52 +11,56 @@
 WINDOW_S = 0.5
 WINDOW_TOKENS = 16
 """A window ends after this time with this many tokens: some twenty steps of a healthy
-engine, enough that one long prompt does not decide it, and two of a straggler."""
+engine, so that one long prompt does not determine the mean, and two steps of a
+straggler."""
 
 MAX_WINDOW_S = 1.0
-"""A nearly idle or very slow server's window ends here, with at least four tokens."""
+"""The window of a nearly idle or very slow server ends after this time, with at least
+four tokens."""
 
 MEDIAN_STEP = 0.05
-"""How far one window moves the pool's median. The estimate needs no list of samples:
-Ma, Muthukrishnan and Sandler, "Frugal Streaming", 2013."""
+"""Relative change of the pool's median by one window. The estimate needs no list of
+samples: Ma, Muthukrishnan and Sandler, "Frugal Streaming", 2013."""
 
 MEAN_WEIGHT = 0.05
 DEVIATION_FACTOR = 4.0
-"""Mean plus four mean deviations, as TCP's retransmission time-out (RFC 6298)."""
+"""Mean plus four mean deviations, as in TCP's retransmission time-out (RFC 6298)."""
 
 
 @dataclass(slots=True)
 class GapWindow:
-    """The time between tokens on one server, window by window."""
+    """The mean inter-token gap of one server, window by window."""
 
-    began: float = 0.0
+    started_at: float = 0.0
     total_s: float = 0.0
     tokens: int = 0
-    most_used: float = 0.0
+    max_load: float = 0.0
 
-    def add(self, gap_s: float, tokens: int, used: float, now: float) -> float | None:
-        """Take tokens that came `gap_s` after the one before; return a full window's
-        mean time between tokens."""
+    def add(self, gap_s: float, tokens: int, load: float, now: float) -> float | None:
+        """Add tokens that arrived `gap_s` after the previous one.
+
+        Return the mean gap in seconds of a full window, or None while it is not full.
+        """
         if not self.tokens:
-            self.began = now - gap_s
+            self.started_at = now - gap_s
         self.total_s += gap_s
         self.tokens += tokens
-        self.most_used = max(self.most_used, used)
-        age = now - self.began
-        full = age >= WINDOW_S and self.tokens >= WINDOW_TOKENS
-        if full or (age >= MAX_WINDOW_S and self.tokens >= 4):
+        self.max_load = max(self.max_load, load)
+        age_s = now - self.started_at
+        is_full = age_s >= WINDOW_S and self.tokens >= WINDOW_TOKENS
+        if is_full or (age_s >= MAX_WINDOW_S and self.tokens >= 4):
             return self.total_s / self.tokens
         return None
 
-    def restart(self, used: float) -> None:
+    def reset(self, load: float) -> None:
         self.total_s = 0.0
         self.tokens = 0
-        self.most_used = used
+        self.max_load = load
 
 
 @dataclass(slots=True)
 class PoolPace:
-    """What is usual among the servers of a pool."""
+    """The usual inter-token gap and first-token time of a pool's servers."""
 
     median_gap_s: float | None = None
     first_token_s: float | None = None
@@ -83,7 +87,7 @@
 
     @property
     def late_first_token_s(self) -> float | None:
-        """Return what is unusually long to wait for a first token."""
+        """Return the time after which a first token is unusually late."""
         if self.first_token_s is None:
             return None
         return self.first_token_s + DEVIATION_FACTOR * self.first_token_deviation_s
--- a/src/godwitmast/dispatch/placement.py
+++ b/src/godwitmast/dispatch/placement.py
@@ -1,24 +1,28 @@
-"""Chooses the engine of a prompt by the tokens that it would have to read there.
-
-Load pattern: quick questions among long prompts, with openings that many share. An
-engine reads a prompt in chunks between the tokens of all that runs on it, and a chunk
-takes as long as several steps without one. A stream beside a prompt of several chunks
-pauses at each event, so that placement by the number of requests makes quick streams
-late even on a quiet day. And a prompt whose opening another engine has read is read
-again.
-
-So engines stand in one order that all routers agree on without talking, and the first
-of them take the quick classes: those of short prompts that bear no longer pauses than
-any other. They are as many as the quick requests' share of the tokens asks for, and of
-the places that are held; the rest take the others. Engines that may be taken away come
-last in the order: a quick stream cannot be moved, and a quick group whose engines come
-and go meets the long prompts of the others at each change.
-
-Within its group a prompt goes where the fewest tokens stand before its first one: those
-to be read of itself, those that this router sent there and that are not read yet, and a
-little for each request that runs there. The engine that ranks highest for the deepest
-shared part is taken to hold it, so that routers which never talk send it to the same
-one. A quick prompt may leave its group when much more runs there than elsewhere.
+"""Chooses the engine for a prompt by the prompt tokens that would have to be prefilled
+there first.
+
+Load pattern: short prompts among long ones, many of which share a prefix. An engine
+prefills a prompt in chunks between the decode steps of everything that runs on it, and
+a step with a chunk takes as long as several without one. A stream on the same engine as
+a prompt of several chunks pauses at each event, so that placement by the number of
+requests makes interactive streams late even under light load. And a prompt whose prefix
+is cached on another engine has that prefix prefilled again.
+
+All routers therefore derive the same order of the engines from a hash, without
+communicating, and the first engines of that order serve the interactive classes: those
+with short prompts whose bound on the inter-token gap is about as strict as the
+strictest. The number of these engines follows the interactive requests' share of the
+prompt tokens and of the occupied batch slots ("places"); the other engines serve all
+other classes. Engines that may be reclaimed at short notice come last in the order: an
+interactive stream cannot be moved, and an interactive group whose engines come and go
+shares engines with long prompts at each change.
+
+Within its group a prompt goes to the engine with the fewest tokens to prefill before
+its first token: those of the prompt itself that are not cached there, those that this
+router sent there and that are not prefilled yet, and a fixed number for each running
+request. The engine that ranks highest for the deepest shared part of a prompt is
+assumed to hold that part, so that routers that do not communicate choose the same one.
+An interactive prompt may leave its group when far more runs there than elsewhere.
 """
 
 import math
@@ -30,76 +34,81 @@
 
 from godwitmast.types import BackendId, ClassName, ZoneName
 
-QUICK_TOKENS = 2048.0
-"""Tokens of the prompts of a quick class, on average: one chunk of an engine's. Two
-chunks are the most that an event of three tokens can wait for within the shortest pause
-that callers asked for."""
+INTERACTIVE_MAX_TOKENS = 2048.0
+"""Largest mean prompt length of an interactive class, in tokens: one prefill chunk. Two
+chunks are the most that an event of three tokens can wait for within the strictest gap
+that callers ask for."""
 
-TIGHT_FACTOR = 1.3
-"""A class that bears pauses longer by more than this than the tightest short one is not
-quick: several of its prompts at a time hold up streams of the tightest one."""
+MAX_GAP_RATIO = 1.3
+"""A class whose allowed gap exceeds the strictest one of the short classes by more than
+this factor is not interactive: several of its prompts at a time delay the streams of
+the strictest class."""
 
 MEAN_WEIGHT = 0.05
-"""Weight of one prompt in its class's mean: the last twenty or so decide."""
+"""Weight of one prompt in its class's moving average, which the last twenty or so
+prompts determine."""
 
-SHARE_MEMORY_S = 20.0
-"""Demand of this age counts half: some fifty requests of a router of today."""
+DEMAND_HALF_LIFE_S = 20.0
+"""Demand of this age counts half. A router sees some fifty requests in that time."""
 
-QUICK_ROOM = 0.8
-"""The quick group's engines as a part of its share of the tokens. Short prompts fit in
-between each other, while a long one fills its engine; what the quick group does not
-need, the other one does."""
+INTERACTIVE_SIZE_FACTOR = 0.8
+"""Size of the interactive group relative to its share of the tokens. Below 1, since
+short prompts fit in between each other while a long one fills its engine, so that the
+other group makes use of what the interactive one does not need."""
 
-BORDER_STEP = 0.75
-"""How far the wanted number of quick engines must be from the present one to change it.
-Routers see unlike shares, and an engine that some take for quick and some do not serves
-neither. Waiting for a whole engine leaves bursts of quick work on too few."""
+RESIZE_THRESHOLD_ENGINES = 0.75
+"""How far the needed number of interactive engines must be from the present one before
+that changes. Routers see different shares, and an engine that some of them count as
+interactive and some do not serves neither group well. A threshold of a whole engine
+leaves bursts of interactive work on too few engines."""
 
-REREAD_FACTOR = 2.0
-"""How much worse a token of a shared part is than one that stands before: it takes the
-engine's time, and room in its memory that another part then lacks."""
+REPEATED_PREFILL_FACTOR = 2.0
+"""Cost of a shared token that is prefilled again, relative to a token that is already
+queued: it takes the engine's time, and cache memory that another part then lacks."""
 
-LOAD_TOKENS = 150.0
-"""What a running request counts for: the time of a token of each step that it shares,
-three milliseconds at fifty tokens a millisecond."""
+TOKENS_PER_RUNNING_REQUEST = 150.0
+"""Cost of a running request in tokens: its share of each decode step that delays the
+first token, 3 ms at fifty tokens a millisecond."""
 
-AWAY_TOKENS = 500.0
-"""What another engine than a part's first counts for although this router has sent the
-part there: the others send it to the first one, and one copy is enough. Less than any
-part worth keeping, more than three running requests."""
+NOT_PREFERRED_TOKENS = 500.0
+"""Cost of an engine other than a part's preferred one, even if this router has already
+sent the part there: the other routers send it to the preferred engine, and one cached
+copy is enough. Less than any part worth caching, more than three running requests."""
 
-ZONE_TOKENS = 400.0
-"""What another availability zone counts for: eight milliseconds, several times the way
-there and back, since the bytes between zones are paid for."""
+OTHER_ZONE_TOKENS = 400.0
+"""Cost of another availability zone: 8 ms, several times the round trip, since traffic
+between zones is paid for."""
 
 OVERFLOW_TOKENS = 6_000.0
-OVERFLOW_STEP = 500.0
-"""What an engine outside of the quick group counts for, and each further one in their
-order: forty running requests, and three more. Quick streams that leave sooner run
-beside long prompts without need."""
+OVERFLOW_STEP_TOKENS = 500.0
+"""Cost of the first engine outside the interactive group, and the additional cost of
+each further one in the common order: that of forty running requests, and of about three
+more. Interactive streams that leave their group sooner run beside long prompts without
+need."""
 
-PART_MEMORY_S = 20.0
-"""How long a part is taken to be where this router sent it, off its first engine."""
+PART_RETENTION_S = 20.0
+"""How long a part is assumed to be cached where this router sent it, if that is not its
+preferred engine."""
 
-MAX_PARTS = 4096
+MAX_TRACKED_PARTS = 4096
 
-FETCH_TOKENS = 256.0
-"""Fewer tokens than this are read sooner than a copy is begun."""
+MIN_COPY_TOKENS = 256.0
+"""Fewer tokens than this are prefilled faster than a copy starts."""
 
-NEW_S = 20.0
-"""For how long an engine counts as new in its group: the parts that now rank it first
-are still where they were before."""
+NEW_MEMBER_S = 20.0
+"""How long an engine counts as new in its group: the parts that now rank it first are
+still cached on the engines that they ranked first before."""
 
 
 class Part(NamedTuple):
-    """A part of a prompt, in order; equal ids are equal text after equal parts."""
+    """A part of a prompt. Equal ids mean equal text after equal preceding parts."""
 
     part_id: str
     tokens: int
 
 
 class Prompt(NamedTuple):
-    """What placement asks of a request."""
+    """The properties of a request that placement needs."""
 
     class_name: ClassName
     tokens: int
@@ -107,7 +116,7 @@
 
 
 class Engine(Protocol):
-    """What placement asks of an engine."""
+    """The properties of an engine that placement needs."""
 
     @property
     def backend_id(self) -> BackendId: ...
@@ -116,309 +125,346 @@
     def zone(self) -> ZoneName: ...
 
     def load(self, now: float) -> float:
-        """Return the requests that run or wait there."""
+        """Return the number of requests that run or wait there."""
 
 
-FIRST_QUICK = 5_000.0
-FIRST_OTHER = 15_000.0
-"""Tokens of each kind that are taken as seen at the start: some three requests of each.
-Without them the first quick streams go everywhere, and the first long prompts onto
-them."""
+INITIAL_INTERACTIVE_TOKENS = 5_000.0
+INITIAL_OTHER_TOKENS = 15_000.0
+"""Tokens of each kind that are assumed at the start: some three requests of each.
+Without them the first interactive streams are spread over all engines, and the first
+long prompts join them."""
 
-FIRST_HELD_S = 5.0
-"""Seconds of each kind that are taken as held at the start."""
+INITIAL_PLACE_SECONDS = 5.0
+"""Place-seconds of each kind that are assumed at the start."""
 
-QUICK_FILL = 0.6
-"""The part of their places that quick requests are to hold in their group. The rest is
-for what other routers send there before reports tell, and for the start of a burst."""
+INTERACTIVE_PLACE_USE = 0.6
+"""Share of their group's places that interactive requests are meant to occupy. The rest
+is for requests of other routers that load reports don't show yet, and for the start of
+a burst."""
 
-LEAST_SHARE = 0.02
-"""Below this part of the tokens a kind counts as absent, and has no engines of its own."""
+MIN_SHARE = 0.02
+"""A kind with a smaller share of the tokens counts as absent and gets no engines of its
+own."""
 
 
 @dataclass(slots=True)
 class Demand:
-    """What quick and other requests took of something, forgotten with time."""
+    """Demand of interactive and of other requests, with exponential decay."""
 
-    quick: float = FIRST_QUICK
-    other: float = FIRST_OTHER
-    at: float | None = None
+    interactive: float = INITIAL_INTERACTIVE_TOKENS
+    other: float = INITIAL_OTHER_TOKENS
+    updated_at: float | None = None
 
-    def add(self, tokens: float, quick: bool, now: float) -> None:
-        since = 0.0 if self.at is None else max(0.0, now - self.at)
-        kept = 0.5 ** (since / SHARE_MEMORY_S)
-        self.quick = self.quick * kept + (tokens if quick else 0.0)
-        self.other = self.other * kept + (0.0 if quick else tokens)
-        self.at = now
+    def add(self, amount: float, interactive: bool, now: float) -> None:
+        elapsed_s = 0.0 if self.updated_at is None else max(0.0, now - self.updated_at)
+        decay = 0.5 ** (elapsed_s / DEMAND_HALF_LIFE_S)
+        self.interactive = self.interactive * decay + (amount if interactive else 0.0)
+        self.other = self.other * decay + (0.0 if interactive else amount)
+        self.updated_at = now
 
     @property
-    def part(self) -> float:
-        """Return the quick requests' part."""
-        return self.quick / (self.quick + self.other)
+    def interactive_share(self) -> float:
+        """Return the interactive requests' share."""
+        return self.interactive / (self.interactive + self.other)
 
     @property
-    def share(self) -> float | None:
-        """Return the quick requests' part; None where only one kind comes."""
-        return self.part if LEAST_SHARE < self.part < 1 - LEAST_SHARE else None
+    def split_share(self) -> float | None:
+        """Return the interactive requests' share, or None if only one kind of request
+        arrives."""
+        return (
+            self.interactive_share
+            if MIN_SHARE < self.interactive_share < 1 - MIN_SHARE
+            else None
+        )
 
 
-class Running(NamedTuple):
-    """What runs on all engines of a pool, and how many requests one of them runs."""
+class PoolLoad(NamedTuple):
+    """Number of requests on all engines of a pool, and mean number of places of one
+    engine."""
 
     requests: float
     places: float
 
 
-IDLE = Running(0.0, 1.0)
+IDLE_POOL = PoolLoad(0.0, 1.0)
 
 
 @dataclass
-class Placement:
-    """The prompts of one pool, as one router sees them."""
-
-    demand: Demand = field(default_factory=Demand)
-    """Tokens of prompts."""
-    held: Demand = field(default_factory=lambda: Demand(FIRST_HELD_S, FIRST_HELD_S))
-    """Seconds for which places in engines were held."""
-    gaps: dict[ClassName, float] = field(default_factory=dict)
-    """The longest pause that each class bears."""
-    means: dict[ClassName, float] = field(default_factory=dict)
-    own_means: dict[ClassName, float] = field(default_factory=dict)
-    border: int = 1
+class PromptPlacement:
+    """One router's view of the prompts of one pool."""
+
+    token_demand: Demand = field(default_factory=Demand)
+    """Prompt tokens."""
+    place_demand: Demand = field(
+        default_factory=lambda: Demand(INITIAL_PLACE_SECONDS, INITIAL_PLACE_SECONDS)
+    )
+    """Place-seconds: how long requests occupied places of engines."""
+    max_gaps_s: dict[ClassName, float] = field(default_factory=dict)
+    """The longest allowed inter-token gap of each class."""
+    mean_tokens: dict[ClassName, float] = field(default_factory=dict)
+    """Mean prompt length of each class."""
+    mean_own_tokens: dict[ClassName, float] = field(default_factory=dict)
+    """Mean length of each class's last part, which other prompts don't share."""
+    interactive_count: int = 1
+    """Number of engines in the interactive group."""
     cheap: set[BackendId] = field(default_factory=set)
-    """The engines that may be taken away at short notice."""
-    unread: dict[BackendId, float] = field(default_factory=dict)
-    sent: dict[tuple[BackendId, str], float] = field(default_factory=dict)
-    joined: dict[bool, dict[BackendId, float]] = field(default_factory=dict)
-    """Since when each engine is in the quick group (True), or in the other one."""
-
-    def is_quick(self, prompt: Prompt) -> bool:
-        """Return whether its class has short prompts and bears the shortest pauses."""
+    """The engines that may be reclaimed at short notice."""
+    pending_tokens: dict[BackendId, float] = field(default_factory=dict)
+    """Tokens that this router sent to each engine and that are not prefilled yet."""
+    sent_at: dict[tuple[BackendId, str], float] = field(default_factory=dict)
+    """When this router last sent each part to each engine."""
+    member_since: dict[bool, dict[BackendId, float]] = field(default_factory=dict)
+    """Since when each engine has been in the interactive group (True) or in the other
+    one."""
+
+    def is_interactive(self, prompt: Prompt) -> bool:
+        """Return whether the prompt's class has short prompts and about the strictest
+        gap."""
         name = prompt.class_name
-        if self.means.get(name, prompt.tokens) > QUICK_TOKENS:
+        if self.mean_tokens.get(name, prompt.tokens) > INTERACTIVE_MAX_TOKENS:
             return False
-        gap_s = self.gaps.get(name, math.inf)
+        gap_s = self.max_gaps_s.get(name, math.inf)
         tightest_s = min(
             (
                 other_s
-                for other, other_s in self.gaps.items()
-                if self.means.get(other, 0.0) <= QUICK_TOKENS
+                for other, other_s in self.max_gaps_s.items()
+                if self.mean_tokens.get(other, 0.0) <= INTERACTIVE_MAX_TOKENS
             ),
             default=math.inf,
         )
-        return gap_s <= TIGHT_FACTOR * tightest_s
+        return gap_s <= MAX_GAP_RATIO * tightest_s
 
-    def arrived(self, prompt: Prompt, now: float, gap_s: float | None = None) -> None:
-        """Take a prompt into the classes' means and the groups' demand.
+    def record_arrival(
+        self, prompt: Prompt, now: float, gap_s: float | None = None
+    ) -> None:
+        """Update the classes' means and the groups' demand with a prompt.
 
-        `gap_s` is the longest pause that its class bears, if one is named.
+        `gap_s` is the longest inter-token gap that its class allows, if it names one.
         """
         if gap_s is not None:
-            self.gaps[prompt.class_name] = gap_s
+            self.max_gaps_s[prompt.class_name] = gap_s
         own = prompt.tokens - sum(part.tokens for part in prompt.parts[:-1])
-        move_mean(self.means, prompt.class_name, prompt.tokens)
-        mean = move_mean(self.own_means, prompt.class_name, max(0, own))
-        self.demand.add(mean, self.is_quick(prompt), now)
+        update_mean(self.mean_tokens, prompt.class_name, prompt.tokens)
+        mean = update_mean(self.mean_own_tokens, prompt.class_name, max(0, own))
+        self.token_demand.add(mean, self.is_interactive(prompt), now)
 
-    def ended(self, prompt: Prompt, held_s: float, now: float) -> None:
-        """Note for how long a request held its place."""
-        self.held.add(held_s, self.is_quick(prompt), now)
+    def record_end(self, prompt: Prompt, held_s: float, now: float) -> None:
+        """Record for how long a request occupied its place."""
+        self.place_demand.add(held_s, self.is_interactive(prompt), now)
 
-    def quick_engines(self, engines: int, running: Running) -> float:
-        """Return how many of the engines the quick requests need.
+    def interactive_engines_needed(self, engines: int, load: PoolLoad) -> float:
+        """Return how many of the engines the interactive requests need.
 
-        Load pattern: short prompts with long answers. Sized by the tokens that they read
-        alone, their group has too few places for what answers, and the rest of them run
-        beside long prompts.
+        Load pattern: short prompts with long answers. Sized by prompt tokens alone,
+        their group has too few places for the answers being generated, and the rest of
+        them run beside long prompts.
         """
-        by_tokens = QUICK_ROOM * self.demand.part * engines
-        by_places = self.held.part * running.requests / (QUICK_FILL * running.places)
+        by_tokens = (
+            INTERACTIVE_SIZE_FACTOR * self.token_demand.interactive_share * engines
+        )
+        by_places = (
+            self.place_demand.interactive_share
+            * load.requests
+            / (INTERACTIVE_PLACE_USE * load.places)
+        )
         return max(by_tokens, by_places)
 
-    def group(
-        self, prompt: Prompt, engines: Iterable[BackendId], running: Running = IDLE
+    def group_for(
+        self, prompt: Prompt, engines: Iterable[BackendId], load: PoolLoad = IDLE_POOL
     ) -> Sequence[BackendId]:
-        """Return the engines for a prompt, of all that are in the choice."""
-        order = sorted(engines, key=self.place_of)
-        if self.demand.share is None or len(order) < 2:
+        """Return the engines of a prompt's group, out of all engines in rotation."""
+        order = sorted(engines, key=self.sort_key)
+        if self.token_demand.split_share is None or len(order) < 2:
             return order
-        wanted = self.quick_engines(len(order), running)
-        if abs(wanted - self.border) > BORDER_STEP:
-            self.border = round(wanted)
-        border = min(len(order) - 1, max(1, self.border))
-        return order[:border] if self.is_quick(prompt) else order[border:]
-
-    def place_of(self, engine: BackendId) -> tuple[bool, int]:
-        """Return what engines are ordered by: the ones that stay come first."""
+        wanted = self.interactive_engines_needed(len(order), load)
+        if abs(wanted - self.interactive_count) > RESIZE_THRESHOLD_ENGINES:
+            self.interactive_count = round(wanted)
+        interactive_count = min(len(order) - 1, max(1, self.interactive_count))
+        return (
+            order[:interactive_count]
+            if self.is_interactive(prompt)
+            else order[interactive_count:]
+        )
+
+    def sort_key(self, engine: BackendId) -> tuple[bool, int]:
+        """Return the key of the common order: engines that are not reclaimed come
+        first."""
         return engine in self.cheap, xxh3_64_intdigest(engine.encode())
 
     def choose(
         self,
         prompt: Prompt,
         members: Collection[BackendId],
-        open_engines: Sequence[Engine],
+        available: Sequence[Engine],
         zone: ZoneName,
         now: float,
-        running: Running = IDLE,
+        load: PoolLoad = IDLE_POOL,
     ) -> BackendId | None:
-        """Return the engine of `open_engines` for a prompt, in its group if it can.
+        """Return the engine of `available` for a prompt, in its group if possible.
 
-        `members` are all that are in the choice, with room or not: the groups and the
-        ranks must be the same for routers that see other engines full.
+        `members` are all engines in rotation, with room or not: groups and ranks must
+        be the same for routers that see different engines as full.
         """
-        group = self.group(prompt, members, running)
-        self.note_group(prompt, group, now)
+        group = self.group_for(prompt, members, load)
+        self.update_membership(prompt, group, now)
         grouped = set(group)
-        inside = [engine for engine in open_engines if engine.backend_id in grouped]
-        candidates = inside or open_engines
-        outside: Mapping[BackendId, float] = {}
-        if self.is_quick(prompt):
-            candidates = open_engines
-            outside = self.overflow(group, members)
-        home = highest(deepest_shared(prompt), group)
+        inside = [engine for engine in available if engine.backend_id in grouped]
+        candidates = inside or available
+        penalties: Mapping[BackendId, float] = {}
+        if self.is_interactive(prompt):
+            candidates = available
+            penalties = self.overflow_penalties(group, members)
+        preferred = highest_ranked(affinity_key(prompt), group)
         best = min(
             candidates,
             key=lambda engine: (
-                self.cost(prompt, engine, home, zone, now)
-                + outside.get(engine.backend_id, 0.0)
+                self.cost_tokens(prompt, engine, preferred, zone, now)
+                + penalties.get(engine.backend_id, 0.0)
             ),
             default=None,
         )
         return best.backend_id if best else None
 
-    def overflow(
+    def overflow_penalties(
         self, group: Sequence[BackendId], members: Collection[BackendId]
     ) -> dict[BackendId, float]:
-        """Return what each engine outside of the quick group counts for besides.
-
-        Load pattern: a burst of quick requests, half as many again as the group was
-        sized for. The border follows in seconds; until then first tokens on the group's
-        one engine took a second, while others had no more than a few requests. The next
-        one in the order is the cheapest, so that all routers overflow to the same one,
-        and long prompts, which count what runs there, leave it alone.
+        """Return the additional cost of each engine outside the interactive group.
+
+        Load pattern: a burst of interactive requests, half as many again as the group
+        was sized for. The group grows within seconds; until then first tokens on its
+        one engine took a second, while other engines had no more than a few requests.
+        The next engine in the common order costs least, so that all routers overflow to
+        the same one, and long prompts, whose cost includes the requests that run there,
+        avoid it.
         """
-        rest = sorted(set(members) - set(group), key=self.place_of)
+        rest = sorted(set(members) - set(group), key=self.sort_key)
         return {
-            engine: OVERFLOW_TOKENS + OVERFLOW_STEP * place
-            for place, engine in enumerate(rest)
+            engine: OVERFLOW_TOKENS + OVERFLOW_STEP_TOKENS * position
+            for position, engine in enumerate(rest)
         }
 
-    def cost(
+    def cost_tokens(
         self,
         prompt: Prompt,
         engine: Engine,
-        home: BackendId | None,
+        preferred: BackendId | None,
         zone: ZoneName,
         now: float,
     ) -> float:
-        """Return the tokens before a prompt's first one at an engine."""
+        """Return the cost of an engine for a prompt, in tokens to prefill before its
+        first one."""
         shared = prompt.parts[:-1]
-        away = 0.0
-        if engine.backend_id != home and shared:
-            reread = sum(
+        prefill_cost = 0.0
+        if engine.backend_id != preferred and shared:
+            uncached = sum(
                 part.tokens
                 for part in shared
-                if not self.holds(engine.backend_id, part, now)
+                if not self.holds_part(engine.backend_id, part, now)
             )
-            away = AWAY_TOKENS + REREAD_FACTOR * reread
-        far = 0.0 if engine.zone == zone else ZONE_TOKENS
+            prefill_cost = NOT_PREFERRED_TOKENS + REPEATED_PREFILL_FACTOR * uncached
+        zone_cost = 0.0 if engine.zone == zone else OTHER_ZONE_TOKENS
         return (
-            away
-            + self.unread.get(engine.backend_id, 0.0)
-            + LOAD_TOKENS * engine.load(now)
-            + far
+            prefill_cost
+            + self.pending_tokens.get(engine.backend_id, 0.0)
+            + TOKENS_PER_RUNNING_REQUEST * engine.load(now)
+            + zone_cost
         )
 
-    def source(
+    def copy_source(
         self,
         prompt: Prompt,
         chosen: BackendId,
         members: Collection[BackendId],
         now: float,
     ) -> BackendId | None:
-        """Return the engine that `chosen` may copy a prompt's shared parts from.
+        """Return the engine from which `chosen` may copy a prompt's shared parts, if
+        there is one.
 
-        Load pattern: bursts that send prompts past the engine that has read their
-        opening, and engines that come and go, so that openings rank another one first.
-        Each such prompt has its opening read again, which takes an engine's time from
-        all that runs there.
+        Load pattern: bursts that send prompts past the engine that has their prefix
+        cached, and engines that join or leave, so that prefixes rank another engine
+        first. Each such prompt has its prefix prefilled again, which takes the engine's
+        time from everything that runs there.
         """
         shared = prompt.parts[:-1]
-        missing = [part for part in shared if not self.holds(chosen, part, now)]
-        if sum(part.tokens for part in missing) < FETCH_TOKENS:
+        missing = [part for part in shared if not self.holds_part(chosen, part, now)]
+        if sum(part.tokens for part in missing) < MIN_COPY_TOKENS:
             return None
         deepest = shared[-1]
         others = [name for name in members if name != chosen]
-        known = [name for name in others if self.holds(name, deepest, now)]
-        if known:
-            return max(known, key=lambda name: self.sent[(name, deepest.part_id)])
-        last_group = self.joined.get(self.is_quick(prompt), {})
+        holders = [name for name in others if self.holds_part(name, deepest, now)]
+        if holders:
+            return max(holders, key=lambda name: self.sent_at[(name, deepest.part_id)])
+        last_group = self.member_since.get(self.is_interactive(prompt), {})
         group = [name for name in last_group if name in members]
-        home = highest(deepest.part_id, group)
-        if home != chosen:
-            return home
-        if self.is_new(prompt, chosen, now):
-            old = [name for name in group if not self.is_new(prompt, name, now)]
-            return highest(deepest.part_id, old)
+        preferred = highest_ranked(deepest.part_id, group)
+        if preferred != chosen:
+            return preferred
+        if self.is_new_member(prompt, chosen, now):
+            old = [name for name in group if not self.is_new_member(prompt, name, now)]
+            return highest_ranked(deepest.part_id, old)
         return None
 
-    def note_group(
+    def update_membership(
         self, prompt: Prompt, group: Collection[BackendId], now: float
     ) -> None:
-        """Remember since when each engine is in a group."""
-        since = self.joined.get(self.is_quick(prompt), {})
-        self.joined[self.is_quick(prompt)] = {
+        """Record since when each engine has been in the prompt's group."""
+        since = self.member_since.get(self.is_interactive(prompt), {})
+        self.member_since[self.is_interactive(prompt)] = {
             name: since.get(name, now) for name in group
         }
 
-    def is_new(self, prompt: Prompt, engine: BackendId, now: float) -> bool:
-        since = self.joined.get(self.is_quick(prompt), {})
-        return now - since.get(engine, now) < NEW_S
+    def is_new_member(self, prompt: Prompt, engine: BackendId, now: float) -> bool:
+        since = self.member_since.get(self.is_interactive(prompt), {})
+        return now - since.get(engine, now) < NEW_MEMBER_S
 
-    def holds(self, backend_id: BackendId, part: Part, now: float) -> bool:
-        sent_at = self.sent.get((backend_id, part.part_id))
-        return sent_at is not None and now - sent_at < PART_MEMORY_S
+    def holds_part(self, backend_id: BackendId, part: Part, now: float) -> bool:
+        sent_at = self.sent_at.get((backend_id, part.part_id))
+        return sent_at is not None and now - sent_at < PART_RETENTION_S
 
-    def started(self, backend_id: BackendId, prompt: Prompt, now: float) -> float:
-        """Note a prompt that goes to an engine; return its tokens to be read there."""
-        unread = float(prompt.tokens)
+    def record_start(self, backend_id: BackendId, prompt: Prompt, now: float) -> float:
+        """Record a prompt that is sent to an engine; return its tokens to be prefilled
+        there."""
+        pending_tokens = float(prompt.tokens)
         for part in prompt.parts[:-1]:
-            if self.holds(backend_id, part, now):
-                unread -= part.tokens
-            self.sent.pop((backend_id, part.part_id), None)
-            self.sent[(backend_id, part.part_id)] = now
-        while len(self.sent) > MAX_PARTS:
-            self.sent.pop(next(iter(self.sent)))
-        unread = max(0.0, unread)
-        self.unread[backend_id] = self.unread.get(backend_id, 0.0) + unread
-        return unread
-
-    def was_read(self, backend_id: BackendId, tokens: float) -> None:
-        """Note that tokens of `started` were read, or will not be."""
-        left = self.unread.get(backend_id, 0.0) - tokens
+            if self.holds_part(backend_id, part, now):
+                pending_tokens -= part.tokens
+            self.sent_at.pop((backend_id, part.part_id), None)
+            self.sent_at[(backend_id, part.part_id)] = now
+        while len(self.sent_at) > MAX_TRACKED_PARTS:
+            self.sent_at.pop(next(iter(self.sent_at)))
+        pending_tokens = max(0.0, pending_tokens)
+        self.pending_tokens[backend_id] = (
+            self.pending_tokens.get(backend_id, 0.0) + pending_tokens
+        )
+        return pending_tokens
+
+    def record_prefill(self, backend_id: BackendId, tokens: float) -> None:
+        """Subtract tokens of `record_start` that were prefilled, or will not be."""
+        left = self.pending_tokens.get(backend_id, 0.0) - tokens
         if left > 0.5:
-            self.unread[backend_id] = left
+            self.pending_tokens[backend_id] = left
         else:
-            self.unread.pop(backend_id, None)
+            self.pending_tokens.pop(backend_id, None)
 
 
-def move_mean(means: dict[ClassName, float], name: ClassName, tokens: float) -> float:
-    """Move a class's mean towards a prompt's tokens, and return it."""
+def update_mean(means: dict[ClassName, float], name: ClassName, tokens: float) -> float:
+    """Update a class's moving average with a prompt's tokens, and return it."""
     mean = means.get(name, tokens)
     means[name] = mean + MEAN_WEIGHT * (tokens - mean)
     return means[name]
 
 
-def deepest_shared(prompt: Prompt) -> str:
+def affinity_key(prompt: Prompt) -> str:
     """Return the id of the last part but one, which other prompts may share.
 
-    The last is the request's own or its session's; alone it is the one to go by.
+    The last part belongs to the request or its session alone; it is used if it is the
+    only one.
     """
     parts = prompt.parts
     return parts[-2].part_id if len(parts) > 1 else parts[-1].part_id
 
 
-def highest(key: str, engines: Iterable[BackendId]) -> BackendId | None:
+def highest_ranked(key: str, engines: Iterable[BackendId]) -> BackendId | None:
     """Return the engine that ranks first for a key, by rendezvous hashing."""
     return max(
         engines,
--- a/src/godwitmast/dispatch/poison.py
+++ b/src/godwitmast/dispatch/poison.py
@@ -1,18 +1,18 @@
-"""Keeps a request that crashes every server it runs on from taking the pool down.
+"""Isolation and quarantine of requests that crash the servers on which they run.
 
-Load pattern: one request crashes its engine, and the router's retry or the caller's
-own carries it to the next one. Without this, a request resent every second takes a
-server a second, and each crash cuts a batch of innocent streams.
+Load pattern: one request crashes its engine, and the router's retry or the caller's own
+sends it to the next one. Without quarantine, a request resent every second takes down a
+server a second, and each crash cuts a batch of unrelated streams.
 
-All requests in flight on a crashed server are suspects, as nothing tells which one it
-was. Suspects run again, but while one is on probation no other suspect joins its
-server, and no second copy of it runs anywhere. So a second crash names the one that
-did it: two crashes are what it takes to tell it from its neighbours, and no fewer
-would. Innocent suspects crash nothing, and their completion clears them.
+All requests in flight on a crashed server are suspects, as nothing tells which one
+caused the crash. Suspects are retried, but while one is on probation no other suspect
+runs on its server, and no second copy of it runs anywhere. So a second crash identifies
+the cause: two crashes are what it takes to tell it from the requests that ran beside
+it, and fewer cannot. Other suspects crash nothing, and are cleared when they complete.
 
-Entries spread what they see as `PoisonNews`. Call `take_news` often and send what it
-returns to all peers, call `export` for a peer that joins, and `import_news` for what
-peers sent.
+Entries exchange what they observe as `PoisonNews`. Call `pop_updates` often and send
+what it returns to all peers, call `export_updates` for a peer that joins, and
+`apply_updates` with what peers sent.
 """
 
 from collections import deque
@@ -33,47 +33,49 @@
 CRASHES_TO_QUARANTINE = 2
 
 QUARANTINE_S = 600.0
-"""Long enough that a caller's resend loop gives up or is noticed; a caller who mended
-what was wrong sends another body, which has another fingerprint."""
+"""Long enough that a caller's retry loop gives up or is noticed; a caller who corrected
+the request sends another body, which has another fingerprint."""
 
 SUSPICION_S = 120.0
-"""A suspect that neither completed nor crashed a server for so long is forgotten."""
+"""A suspect that has neither completed nor crashed a server for this long is
+forgotten."""
 
-SAME_CRASH_S = 2.0
-"""Two sightings of a server's crash this close are one: it takes longer to restart."""
+CRASH_DEDUP_S = 2.0
+"""Two observations of a server's crash within this time are one crash: a restart takes
+longer."""
 
 MIN_PROBATION_S = 0.5
 MAX_PROBATION_S = 5.0
 """A suspect is on probation for as long as it had run when its server crashed, within
-these bounds. Without an upper bound the twenty streams of one crashed server would
-wait for each other's whole answers on the few servers that are left."""
+these bounds. Without an upper bound the twenty streams of one crashed server would wait
+for each other's whole answers on the few remaining servers."""
 
 OUTAGE_SERVERS = 3
 OUTAGE_S = 1.0
-"""So many servers lost so close together are an outage, such as a rack's power or a
-network partition. A poison request takes them one after the other; and to isolate the
-hundreds of streams that an outage cuts would stall all of them."""
+"""So many servers lost within this time are an outage, such as a rack's power failure
+or a network partition. A poison request crashes them one after the other; and isolating
+the hundreds of streams that an outage cuts would stall all of them."""
 
-PLACEMENT_S = 10.0
-"""How long a placement heard from a peer holds, should its end never be heard."""
+PLACEMENT_TTL_S = 10.0
+"""How long a placement received from a peer is valid if its end is never received."""
 
 ANNOUNCE_S = 0.25
-"""How long a suspect's server is announced before the suspect starts there: peers hear
+"""How long a suspect's server is announced before the suspect starts there: peers learn
 of it in about 0.1 s. Without it two entries placed a suspect each on one server, whose
-crash then named neither, and a poison request crashed a third one."""
+crash then identified neither, and a poison request crashed a third one."""
 
 MAX_SUSPECTS = 10_000
 
 
 class InFlight(NamedTuple):
-    """A request on a server that crashed, and for how long it had run there."""
+    """A request on a server that crashed, and how long it had run there."""
 
     fingerprint: str
     ran_s: float
 
 
-class Sighting(NamedTuple):
-    """A crash, and the fingerprints that it put under suspicion."""
+class CrashRecord(NamedTuple):
+    """A crash, and the fingerprints that became suspects by it."""
 
     at: float
     backend_id: BackendId
@@ -86,272 +88,287 @@
 
     crashes: list[tuple[BackendId, float]] = field(default_factory=list)
     probation_s: float = MIN_PROBATION_S
-    survived: bool = False
+    passed_probation: bool = False
 
 
 class PoisonGuard:
-    """The suspects, where they run, and what is quarantined."""
+    """The suspects, where they run, and the quarantined fingerprints."""
 
     def __init__(self) -> None:
         self.suspects: dict[str, Suspect] = {}
         self.quarantined: dict[str, float] = {}
-        self.cleared: dict[str, float] = {}
-        self.placed: dict[BackendId, dict[str, float]] = {}
-        self.running: dict[str, BackendId] = {}
-        self.reserved: dict[str, tuple[BackendId, float]] = {}
-        self.sightings: deque[Sighting] = deque()
+        self.cleared_at: dict[str, float] = {}
+        self.probations: dict[BackendId, dict[str, float]] = {}
+        self.running_on: dict[str, BackendId] = {}
+        self.reservations: dict[str, tuple[BackendId, float]] = {}
+        self.recent_crashes: deque[CrashRecord] = deque()
         self.news: list[PoisonNews] = []
 
     def quarantine_left(self, fingerprint: str, now: float) -> float | None:
-        """Return for how many seconds the fingerprint is still refused, if it is."""
+        """Return for how many seconds the fingerprint is still refused, or None."""
         until = self.quarantined.get(fingerprint)
         return until - now if until is not None and until > now else None
 
     def is_suspect(self, fingerprint: str) -> bool:
         return fingerprint in self.suspects
 
-    def must_wait(self, fingerprint: str) -> bool:
-        """Return whether a copy of this suspect runs already, here or elsewhere."""
-        return fingerprint in self.suspects and fingerprint in self.running
+    def has_running_copy(self, fingerprint: str) -> bool:
+        """Return whether a copy of this suspect already runs, on this entry or another
+        one."""
+        return fingerprint in self.suspects and fingerprint in self.running_on
 
-    def holds(self, backend_id: BackendId, now: float) -> bool:
+    def has_probation(self, backend_id: BackendId, now: float) -> bool:
         """Return whether a suspect is on probation on the server."""
         return bool(self.on_probation(backend_id, now))
 
     def on_probation(self, backend_id: BackendId, now: float) -> set[str]:
-        placed = self.placed.get(backend_id, {})
-        return {fingerprint for fingerprint, until in placed.items() if until > now}
+        probations = self.probations.get(backend_id, {})
+        return {fingerprint for fingerprint, until in probations.items() if until > now}
 
     def reserve(self, fingerprint: str, backend_id: BackendId, now: float) -> None:
-        """Announce the server that a suspect is to start on."""
-        self.reserved[fingerprint] = (backend_id, now)
-        placed = self.placed.setdefault(backend_id, {})
-        placed[fingerprint] = now + PLACEMENT_S
-        self.news.append(Placement(fingerprint, backend_id, PLACEMENT_S))
+        """Announce the server on which a suspect is to start."""
+        self.reservations[fingerprint] = (backend_id, now)
+        probations = self.probations.setdefault(backend_id, {})
+        probations[fingerprint] = now + PLACEMENT_TTL_S
+        self.news.append(Placement(fingerprint, backend_id, PLACEMENT_TTL_S))
 
-    def reservation(
+    def reservation_of(
         self, fingerprint: str, now: float
     ) -> tuple[BackendId, bool] | None:
-        """Return the server reserved for a suspect, and whether it may start there.
+        """Return the server reserved for a suspect, and whether it may start there now.
 
-        Of two suspects that were announced for one server the first by name keeps it,
-        so that both entries see it alike; the other one's reservation is dropped.
+        If two suspects were announced for one server, the first by fingerprint keeps
+        it, so that both entries decide alike; the other one's reservation is cancelled.
         """
-        held = self.reserved.get(fingerprint)
-        if held is None:
+        reservation = self.reservations.get(fingerprint)
+        if reservation is None:
             return None
-        backend_id, at = held
+        backend_id, at = reservation
         if min(self.on_probation(backend_id, now), default="") != fingerprint:
-            self.drop_reservation(fingerprint)
+            self.cancel_reservation(fingerprint)
             return None
         return backend_id, now - at >= ANNOUNCE_S
 
-    def drop_reservation(self, fingerprint: str) -> None:
-        held = self.reserved.pop(fingerprint, None)
-        if held is not None and self.unplace(fingerprint, held[0]):
-            self.news.append(Placement(fingerprint, held[0], 0.0))
+    def cancel_reservation(self, fingerprint: str) -> None:
+        reservation = self.reservations.pop(fingerprint, None)
+        if reservation is not None and self.remove_probation(
+            fingerprint, reservation[0]
+        ):
+            self.news.append(Placement(fingerprint, reservation[0], 0.0))
 
-    def started(self, fingerprint: str, backend_id: BackendId, now: float) -> None:
-        """Note that a request runs on a server, on probation if it is a suspect."""
+    def record_start(self, fingerprint: str, backend_id: BackendId, now: float) -> None:
+        """Record that a request runs on a server, on probation if it is a suspect."""
         suspect = self.suspects.get(fingerprint)
         if suspect is None:
             return
-        suspect.survived = False
-        held = self.reserved.pop(fingerprint, None)
-        if held is not None and held[0] != backend_id:
-            self.unplace(fingerprint, held[0])
-        self.place(fingerprint, backend_id, now + PLACEMENT_S)
-        self.news.append(Placement(fingerprint, backend_id, PLACEMENT_S))
-
-    def progressed(self, fingerprint: str, ran_s: float, now: float) -> bool:
-        """End the probation of a suspect that ran long enough; return whether it did."""
+        suspect.passed_probation = False
+        reservation = self.reservations.pop(fingerprint, None)
+        if reservation is not None and reservation[0] != backend_id:
+            self.remove_probation(fingerprint, reservation[0])
+        self.add_probation(fingerprint, backend_id, now + PLACEMENT_TTL_S)
+        self.news.append(Placement(fingerprint, backend_id, PLACEMENT_TTL_S))
+
+    def record_progress(self, fingerprint: str, ran_s: float, now: float) -> bool:
+        """End the probation of a suspect that ran long enough; return whether it
+        did."""
         suspect = self.suspects.get(fingerprint)
-        if suspect is None or suspect.survived or ran_s < suspect.probation_s:
+        if suspect is None or suspect.passed_probation or ran_s < suspect.probation_s:
             return False
-        suspect.survived = True
-        self.leave(fingerprint)
+        suspect.passed_probation = True
+        self.end_probation(fingerprint)
         return True
 
-    def ended(self, fingerprint: str) -> None:
-        """Note that a request left its server without an answer or a crash."""
-        if fingerprint in self.running:
-            self.leave(fingerprint)
+    def record_end(self, fingerprint: str) -> None:
+        """Record that a request's attempt ended without an answer or a crash."""
+        if fingerprint in self.running_on:
+            self.end_probation(fingerprint)
 
-    def completed(self, fingerprint: str, now: float) -> None:
-        """Clear a request that gave its whole answer."""
+    def record_completion(self, fingerprint: str, now: float) -> None:
+        """Clear a suspect that completed."""
         if fingerprint not in self.suspects:
             return
-        self.leave(fingerprint)
+        self.end_probation(fingerprint)
         del self.suspects[fingerprint]
-        self.cleared[fingerprint] = now
+        self.cleared_at[fingerprint] = now
         self.news.append(Clearance(fingerprint, 0.0))
 
-    def crashed(
+    def record_crash(
         self, backend_id: BackendId, in_flight: Iterable[InFlight], now: float
     ) -> list[str]:
-        """Take a crash; return the fingerprints that it put into quarantine."""
+        """Record a crash; return the fingerprints that are quarantined by it."""
         ran = {item.fingerprint: item.ran_s for item in in_flight if item.fingerprint}
-        accused = self.accused(backend_id, set(ran), now)
+        blamed = self.find_blamed(backend_id, set(ran), now)
         for fingerprint in sorted(ran):
             suspect = self.suspects.setdefault(fingerprint, Suspect())
-            suspect.survived = False
+            suspect.passed_probation = False
             suspect.probation_s = min(
                 max(ran[fingerprint], MIN_PROBATION_S), MAX_PROBATION_S
             )
-            self.leave(fingerprint)
-            if fingerprint in accused:
+            self.end_probation(fingerprint)
+            if fingerprint in blamed:
                 add_crash(suspect, backend_id, now)
-        self.sightings.append(Sighting(now, backend_id, frozenset(accused)))
-        self.forgive_outage(now)
-        return self.judge(accused, now)
+        self.recent_crashes.append(CrashRecord(now, backend_id, frozenset(blamed)))
+        self.drop_outage_crashes(now)
+        return self.update_suspects(blamed, now)
 
-    def accused(
+    def find_blamed(
         self, backend_id: BackendId, fingerprints: set[str], now: float
     ) -> set[str]:
-        """Return which of the requests on a crashed server the crash counts against.
+        """Return the requests on a crashed server against which the crash counts.
 
-        Where one suspect was on probation, it alone is the likely cause among the
-        suspects. Where several were, since two entries placed theirs before they heard
-        of each other, or where several ran that had survived theirs, the crash does
-        not tell them apart, and to count it would refuse the innocent ones.
+        If one suspect was on probation, it is the only likely cause among the suspects.
+        If several were, since two entries placed theirs before they learned of each
+        other's, or if several ran that had passed probation, the crash does not tell
+        them apart, and counting it would quarantine innocent ones.
         """
         suspects = fingerprints & self.suspects.keys()
-        likely = self.on_probation(backend_id, now) or suspects
-        if len(likely) > 1:
+        likely_causes = self.on_probation(backend_id, now) or suspects
+        if len(likely_causes) > 1:
             return fingerprints - suspects
-        return (fingerprints - suspects) | (likely & suspects)
-
-    def forgive_outage(self, now: float) -> None:
-        """Drop the suspicions of an outage, but for requests seen in several crashes."""
-        while self.sightings and self.sightings[0].at < now - OUTAGE_S:
-            self.sightings.popleft()
-        if len({sighting.backend_id for sighting in self.sightings}) < OUTAGE_SERVERS:
+        return (fingerprints - suspects) | (likely_causes & suspects)
+
+    def drop_outage_crashes(self, now: float) -> None:
+        """Discard the crashes of an outage, except for requests seen in several of
+        them."""
+        while self.recent_crashes and self.recent_crashes[0].at < now - OUTAGE_S:
+            self.recent_crashes.popleft()
+        if (
+            len({crash_record.backend_id for crash_record in self.recent_crashes})
+            < OUTAGE_SERVERS
+        ):
             return
         seen: dict[str, int] = {}
-        for sighting in self.sightings:
-            for fingerprint in sighting.fingerprints:
+        for crash_record in self.recent_crashes:
+            for fingerprint in crash_record.fingerprints:
                 seen[fingerprint] = seen.get(fingerprint, 0) + 1
-        for sighting in self.sightings:
-            for fingerprint in sighting.fingerprints:
+        for crash_record in self.recent_crashes:
+            for fingerprint in crash_record.fingerprints:
                 if seen[fingerprint] == 1:
-                    self.forgive(fingerprint, sighting)
+                    self.drop_crash(fingerprint, crash_record)
 
-    def forgive(self, fingerprint: str, sighting: Sighting) -> None:
+    def drop_crash(self, fingerprint: str, crash_record: CrashRecord) -> None:
         suspect = self.suspects.get(fingerprint)
         if suspect is None:
             return
-        crash = (sighting.backend_id, sighting.at)
+        crash = (crash_record.backend_id, crash_record.at)
         suspect.crashes = [item for item in suspect.crashes if item != crash]
         if not suspect.crashes:
             del self.suspects[fingerprint]
 
-    def judge(self, fingerprints: set[str], now: float) -> list[str]:
-        """Quarantine those with crashes enough, and tell of the others."""
-        sentenced = []
+    def update_suspects(self, fingerprints: set[str], now: float) -> list[str]:
+        """Quarantine suspects with enough crashes, and announce the others."""
+        quarantined = []
         for fingerprint in sorted(fingerprints & self.suspects.keys()):
             suspect = self.suspects[fingerprint]
             if len(suspect.crashes) >= CRASHES_TO_QUARANTINE:
                 self.quarantine(fingerprint, now + QUARANTINE_S)
                 self.news.append(Quarantine(fingerprint, QUARANTINE_S))
-                sentenced.append(fingerprint)
+                quarantined.append(fingerprint)
             else:
-                self.news.append(suspicion(fingerprint, suspect, now))
-        return sentenced
+                self.news.append(suspicion_update(fingerprint, suspect, now))
+        return quarantined
 
     def quarantine(self, fingerprint: str, until: float) -> None:
         self.quarantined[fingerprint] = max(
             until, self.quarantined.get(fingerprint, 0.0)
         )
-        self.leave(fingerprint)
+        self.end_probation(fingerprint)
         self.suspects.pop(fingerprint, None)
 
-    def place(self, fingerprint: str, backend_id: BackendId, until: float) -> None:
-        self.running[fingerprint] = backend_id
-        self.placed.setdefault(backend_id, {})[fingerprint] = until
+    def add_probation(
+        self, fingerprint: str, backend_id: BackendId, until: float
+    ) -> None:
+        self.running_on[fingerprint] = backend_id
+        self.probations.setdefault(backend_id, {})[fingerprint] = until
 
-    def leave(self, fingerprint: str) -> None:
-        """Free the server on which a suspect was on probation."""
-        self.drop_reservation(fingerprint)
-        backend_id = self.running.pop(fingerprint, None)
+    def end_probation(self, fingerprint: str) -> None:
+        """Release the server on which a suspect is on probation."""
+        self.cancel_reservation(fingerprint)
+        backend_id = self.running_on.pop(fingerprint, None)
         if backend_id is None:
             return
-        if self.unplace(fingerprint, backend_id):
+        if self.remove_probation(fingerprint, backend_id):
             self.news.append(Placement(fingerprint, backend_id, 0.0))
 
-    def unplace(self, fingerprint: str, backend_id: BackendId) -> bool:
-        """Take a suspect off the server's list; return whether it stood there."""
-        placed = self.placed.get(backend_id)
-        if placed is None or placed.pop(fingerprint, None) is None:
+    def remove_probation(self, fingerprint: str, backend_id: BackendId) -> bool:
+        """Remove a suspect from the server's probations; return whether it was among
+        them."""
+        probations = self.probations.get(backend_id)
+        if probations is None or probations.pop(fingerprint, None) is None:
             return False
-        if not placed:
-            del self.placed[backend_id]
+        if not probations:
+            del self.probations[backend_id]
         return True
 
     def expire(self, now: float) -> None:
-        """Forget what is over; call it now and then."""
+        """Remove expired entries; to be called regularly."""
         for fingerprint, until in list(self.quarantined.items()):
             if until <= now:
                 del self.quarantined[fingerprint]
-        for fingerprint, at in list(self.cleared.items()):
+        for fingerprint, at in list(self.cleared_at.items()):
             if at < now - SUSPICION_S:
-                del self.cleared[fingerprint]
-        for fingerprint, backend_id in list(self.running.items()):
-            if self.placed.get(backend_id, {}).get(fingerprint, 0.0) <= now:
-                self.unplace(fingerprint, backend_id)
-                del self.running[fingerprint]
-        for fingerprint, (_, at) in list(self.reserved.items()):
-            if at <= now - PLACEMENT_S:
-                self.drop_reservation(fingerprint)
+                del self.cleared_at[fingerprint]
+        for fingerprint, backend_id in list(self.running_on.items()):
+            if self.probations.get(backend_id, {}).get(fingerprint, 0.0) <= now:
+                self.remove_probation(fingerprint, backend_id)
+                del self.running_on[fingerprint]
+        for fingerprint, (_, at) in list(self.reservations.items()):
+            if at <= now - PLACEMENT_TTL_S:
+                self.cancel_reservation(fingerprint)
         excess = len(self.suspects) - MAX_SUSPECTS
         for number, (fingerprint, suspect) in enumerate(list(self.suspects.items())):
             latest = max((at for _, at in suspect.crashes), default=now)
             if number < excess or latest < now - SUSPICION_S:
-                self.leave(fingerprint)
+                self.end_probation(fingerprint)
                 del self.suspects[fingerprint]
 
-    def take_news(self) -> list[PoisonNews]:
-        """Return what peers have to hear since the last call."""
+    def pop_updates(self) -> list[PoisonNews]:
+        """Return and clear the updates that peers have not been sent yet."""
         news, self.news = self.news, []
         return news
 
-    def export(self, now: float) -> list[PoisonNews]:
-        """Return all that is known, for a peer that has just joined."""
+    def export_updates(self, now: float) -> list[PoisonNews]:
+        """Return everything known, for a peer that has just joined."""
         known: list[PoisonNews] = [
             Quarantine(fingerprint, until - now)
             for fingerprint, until in self.quarantined.items()
             if until > now
         ]
-        known += [suspicion(name, item, now) for name, item in self.suspects.items()]
+        known += [
+            suspicion_update(name, item, now) for name, item in self.suspects.items()
+        ]
         known += [
             Placement(fingerprint, backend_id, until - now)
-            for backend_id, placed in self.placed.items()
-            for fingerprint, until in placed.items()
+            for backend_id, probations in self.probations.items()
+            for fingerprint, until in probations.items()
             if until > now
         ]
         return known
 
-    def import_news(self, news: Iterable[PoisonNews], now: float) -> list[str]:
-        """Take what a peer sent; return the fingerprints now in quarantine by it."""
-        sentenced: list[str] = []
+    def apply_updates(self, news: Iterable[PoisonNews], now: float) -> list[str]:
+        """Apply a peer's updates; return the fingerprints that are now quarantined by
+        them."""
+        quarantined: list[str] = []
         for item in news:
             match item:
                 case Quarantine(fingerprint, left_s):
                     if left_s > 0:
                         self.quarantine(fingerprint, now + min(left_s, QUARANTINE_S))
-                        sentenced.append(fingerprint)
+                        quarantined.append(fingerprint)
                 case Suspicion():
-                    sentenced += self.import_suspicion(item, now)
+                    quarantined += self.apply_suspicion(item, now)
                 case Placement(fingerprint, backend_id, left_s):
-                    self.import_placement(fingerprint, backend_id, now, left_s)
+                    self.apply_placement(fingerprint, backend_id, now, left_s)
                 case Clearance(fingerprint, age_s):
-                    self.import_clearance(fingerprint, now - age_s)
-        return sentenced
+                    self.apply_clearance(fingerprint, now - age_s)
+        return quarantined
 
-    def import_suspicion(self, item: Suspicion, now: float) -> list[str]:
-        """Join a peer's sightings with our own; together they may be enough."""
+    def apply_suspicion(self, item: Suspicion, now: float) -> list[str]:
+        """Add a peer's observed crashes to our own; return the fingerprint if that
+        quarantines it."""
         if self.quarantine_left(item.fingerprint, now) is not None:
             return []
-        cleared_at = self.cleared.get(item.fingerprint, float("-inf"))
+        cleared_at = self.cleared_at.get(item.fingerprint, float("-inf"))
         crashes = [
             (crash.backend_id, now - crash.age_s)
             for crash in item.crashes
@@ -368,31 +385,33 @@
         self.news.append(Quarantine(item.fingerprint, QUARANTINE_S))
         return [item.fingerprint]
 
-    def import_placement(
+    def apply_placement(
         self, fingerprint: str, backend_id: BackendId, now: float, left_s: float
     ) -> None:
         if left_s > 0:
-            self.place(fingerprint, backend_id, now + min(left_s, PLACEMENT_S))
-        elif self.running.get(fingerprint) == backend_id:
-            del self.running[fingerprint]
-            self.unplace(fingerprint, backend_id)
+            self.add_probation(
+                fingerprint, backend_id, now + min(left_s, PLACEMENT_TTL_S)
+            )
+        elif self.running_on.get(fingerprint) == backend_id:
+            del self.running_on[fingerprint]
+            self.remove_probation(fingerprint, backend_id)
 
-    def import_clearance(self, fingerprint: str, at: float) -> None:
+    def apply_clearance(self, fingerprint: str, at: float) -> None:
         suspect = self.suspects.get(fingerprint)
         if suspect is not None and all(seen <= at for _, seen in suspect.crashes):
             del self.suspects[fingerprint]
-            self.running.pop(fingerprint, None)
-        self.cleared[fingerprint] = max(at, self.cleared.get(fingerprint, at))
+            self.running_on.pop(fingerprint, None)
+        self.cleared_at[fingerprint] = max(at, self.cleared_at.get(fingerprint, at))
 
 
 def add_crash(suspect: Suspect, backend_id: BackendId, at: float) -> None:
-    """Count a crash, unless it is one that was counted already."""
+    """Add a crash, unless it was counted already."""
     for known_id, known_at in suspect.crashes:
-        if known_id == backend_id and abs(known_at - at) <= SAME_CRASH_S:
+        if known_id == backend_id and abs(known_at - at) <= CRASH_DEDUP_S:
             return
     suspect.crashes.append((backend_id, at))
 
 
-def suspicion(fingerprint: str, suspect: Suspect, now: float) -> Suspicion:
+def suspicion_update(fingerprint: str, suspect: Suspect, now: float) -> Suspicion:
     crashes = tuple(Crash(name, now - at) for name, at in suspect.crashes)
     return Suspicion(fingerprint, crashes)
--- a/src/godwitmast/dispatch/policy.py
+++ b/src/godwitmast/dispatch/policy.py
@@ -1,6 +1,6 @@
-"""What the entry and the scenario player ask of a routing policy.
+"""The interface of a routing policy to the entry and the scenario player.
 
-The product's is `dispatch.router.Router`; the player also plays baselines.
+The product's policy is `dispatch.router.Router`; the player also plays baselines.
 """
 
 from typing import Protocol
@@ -18,7 +18,7 @@
 
 
 class Policy(Protocol):
-    """What the entry and the scenario player need of a routing policy."""
+    """The methods that the entry and the scenario player call on a routing policy."""
 
     def update_config(self, document: Document, now: float) -> list[Action]: ...
 
--- a/src/godwitmast/dispatch/retries.py
+++ b/src/godwitmast/dispatch/retries.py
@@ -1,13 +1,14 @@
-"""Bounds how much work is run again, and when.
+"""Retry budgets, backoff and the queue of requests that wait for a retry.
 
 Load pattern: a failure of many servers, or a retry storm. If each failed request is
-run again at once, the servers that are left get the failed ones' load on top of their
-own, fail too, and the system stays down after its cause is gone (Bronson et al.,
-"Metastable Failures in Distributed Systems", 2021).
-
-Every repeat draws on its pool's budget, which successes there fill: a share of
-`SUCCESS_SHARE` is what Finagle and Envoy use by default, within a factor of two.
-`RESERVE` lets the streams of a crashed server or two resume at once on a quiet system.
+retried at once, the remaining servers get the failed ones' load on top of their own and
+fail too, and the system stays down after the cause is gone (Bronson et al., "Metastable
+Failures in Distributed Systems", 2021).
+
+Every retry spends from its pool's budget, which completed requests of the pool refill:
+a share of `RETRIES_PER_SUCCESS` is the default of Finagle and Envoy, within a factor of
+two. `BUDGET_CAPACITY` lets the streams of a crashed server or two resume at once in a
+lightly loaded system.
 """
 
 import heapq
@@ -19,100 +20,113 @@
 from godwitmast.dispatch.census import RouterCount
 from godwitmast.types import PoolName, RequestId
 
-SUCCESS_SHARE = 0.1
-RESERVE = 100.0
-"""The most that the budget holds: the streams of three engines of 32, so that the crash
-of a few servers does not cut what could be resumed."""
+RETRIES_PER_SUCCESS = 0.1
+BUDGET_CAPACITY = 100.0
+"""Most retries that a budget holds: the streams of three engines with 32 places each,
+so that the crash of a few servers does not cut streams that could be resumed."""
 
-UNKNOWN_ROUTERS = 64
-UNKNOWN_RESERVE = 4.0
-"""What a router has until the others are counted, which takes a second after its start:
-its part among many, and what a failing server or two cost."""
+ASSUMED_ROUTERS = 64
+MIN_INITIAL_CAPACITY = 4.0
+"""Capacity until the other routers are counted, which takes a second after the start:
+the share of one among many routers, and enough for the failure of a server or two."""
 
-FIRST_BACKOFF_S = 0.05
+BASE_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 2.0
 
 SUSPECT_BACKOFF_S = (0.1, 0.2)
-"""A suspect waits long enough for the other entries to have heard of it, and then for
-them to hear of the server that it is to start on: see `poison`."""
+"""A suspect waits long enough for the other entries to learn of the crash, and then for
+them to learn on which server it will start: see `poison`."""
 
 
 class RetryBudget:
-    """What may still be run again.
+    """Retries that may still be made.
 
-    `reserve` is the most that it holds, and `share` what each success adds. Where
-    several routers draw on one allowance, each gets its part of the reserve.
+    `capacity` is the most that it holds, and `per_success` is what each completed
+    request adds. Where several routers share one allowance, each gets its share of the
+    capacity.
     """
 
-    def __init__(self, reserve: float = RESERVE, share: float = SUCCESS_SHARE) -> None:
-        self.reserve = reserve
-        self.share = share
-        self.left = reserve
-
-    def succeeded(self) -> None:
-        self.left = min(self.reserve, self.left + self.share)
-
-    def take(self) -> bool:
-        """Spend one repeat; return whether there was one to spend."""
-        if self.left < 1:
+    def __init__(
+        self,
+        capacity: float = BUDGET_CAPACITY,
+        per_success: float = RETRIES_PER_SUCCESS,
+    ) -> None:
+        self.capacity = capacity
+        self.per_success = per_success
+        self.remaining = capacity
+
+    def record_success(self) -> None:
+        self.remaining = min(self.capacity, self.remaining + self.per_success)
+
+    def try_spend(self) -> bool:
+        """Spend one retry; return whether one was available."""
+        if self.remaining < 1:
             return False
-        self.left -= 1
+        self.remaining -= 1
         return True
 
 
 class RetryBudgets:
-    """A budget for each pool, so that one that fails takes no repeats from another."""
+    """A retry budget for each pool, so that the failures of one pool use up no retries
+    of another."""
 
-    def __init__(self, make: Callable[[], RetryBudget] = RetryBudget) -> None:
-        self.make = make
+    def __init__(self, make_budget: Callable[[], RetryBudget] = RetryBudget) -> None:
+        self.make_budget = make_budget
         self.budgets: dict[PoolName, RetryBudget] = {}
 
-    def of(self, pool: PoolName) -> RetryBudget:
+    def for_pool(self, pool: PoolName) -> RetryBudget:
         if pool not in self.budgets:
-            self.budgets[pool] = self.make()
+            self.budgets[pool] = self.make_budget()
         return self.budgets[pool]
 
 
 class DividedBudgets(RetryBudgets):
-    """A part of the allowances, one for each pool, that all routers draw on.
+    """This router's share of retry budgets, one for each pool, that all routers share.
 
     Load pattern: a fault that every router sees at once, such as the loss of a zone's
-    servers. Each spends its whole part in the same second, so the parts have to add up
-    to the allowance however many routers there are. Routers that were not counted yet,
-    or are cut off and no longer counted, spend theirs as well: see `RouterCount`.
+    servers. Each spends its whole share in the same second, so that the shares have to
+    add up to no more than the allowance however many routers there are. Routers that
+    are not counted yet, or that are partitioned and no longer counted, spend theirs as
+    well: see `RouterCount`.
     """
 
-    def __init__(self, allowance: float, share: float) -> None:
-        super().__init__(lambda: RetryBudget(self.reserve, share))
-        self.allowance = allowance
-        self.reserve = min(allowance, max(UNKNOWN_RESERVE, allowance / UNKNOWN_ROUTERS))
-        self.count = RouterCount()
+    def __init__(self, total_capacity: float, per_success: float) -> None:
+        super().__init__(lambda: RetryBudget(self.capacity, per_success))
+        self.total_capacity = total_capacity
+        self.capacity = min(
+            total_capacity, max(MIN_INITIAL_CAPACITY, total_capacity / ASSUMED_ROUTERS)
+        )
+        self.router_count = RouterCount()
 
     def divide(self, routers: int, now: float) -> None:
-        """Take how many routers there are; 0 if that is not known."""
-        first = self.count.routers == 0
-        if not self.count.note(routers, now):
+        """Set the share from the number of routers; 0 if that is not known."""
+        is_first_count = self.router_count.routers == 0
+        if not self.router_count.note(routers, now):
             return
-        self.reserve = self.allowance / self.count.most
+        self.capacity = self.total_capacity / self.router_count.most
         for budget in self.budgets.values():
-            budget.reserve = self.reserve
-            budget.left = self.reserve if first else min(budget.left, self.reserve)
+            budget.capacity = self.capacity
+            budget.remaining = (
+                self.capacity
+                if is_first_count
+                else min(budget.remaining, self.capacity)
+            )
 
 
-def backoff_s(failures: int, suspect: bool, draw: random.Random) -> float:
-    """Return how long a failed request waits, with full jitter.
+def backoff_s(failures: int, suspect: bool, rng: random.Random) -> float:
+    """Return how many seconds a failed request waits, with full jitter.
 
-    The first failure hardly waits: its server is out of the choice by then, and a
-    stream's caller sees each millisecond.
+    The wait after the first failure is at most `BASE_BACKOFF_S`: its server is out of
+    rotation by then, and a stream's caller notices each millisecond.
     """
     if suspect:
-        return draw.uniform(*SUSPECT_BACKOFF_S) * failures
-    longest = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 4.0 ** (failures - 1))
-    return draw.uniform(0.0, longest)
+        return rng.uniform(*SUSPECT_BACKOFF_S) * failures
+    longest = min(MAX_BACKOFF_S, BASE_BACKOFF_S * 4.0 ** (failures - 1))
+    return rng.uniform(0.0, longest)
 
 
-class Due(NamedTuple):
-    """A request whose wait ends at a time."""
+class ScheduledRetry(NamedTuple):
+    """A request whose backoff ends at a time."""
 
     at: float
     number: int
@@ -120,28 +134,28 @@
 
 
 class RetryQueue:
-    """Requests that wait before they may run again."""
+    """Requests in backoff, by the time at which it ends."""
 
     def __init__(self) -> None:
-        self.heap: list[Due] = []
-        self.held: dict[RequestId, int] = {}
-        self.numbers = itertools.count()
+        self.heap: list[ScheduledRetry] = []
+        self.pending: dict[RequestId, int] = {}
+        self.sequence = itertools.count()
 
     def add(self, request_id: RequestId, at: float) -> None:
-        number = next(self.numbers)
-        self.held[request_id] = number
-        heapq.heappush(self.heap, Due(at, number, request_id))
+        number = next(self.sequence)
+        self.pending[request_id] = number
+        heapq.heappush(self.heap, ScheduledRetry(at, number, request_id))
 
     def discard(self, request_id: RequestId) -> None:
-        """Forget a request; its place in the heap goes when its time comes."""
-        self.held.pop(request_id, None)
+        """Remove a request; its heap entry stays until its time comes."""
+        self.pending.pop(request_id, None)
 
-    def take_due(self, now: float) -> list[RequestId]:
-        """Return the requests whose wait is over."""
+    def pop_due(self, now: float) -> list[RequestId]:
+        """Remove and return the requests whose backoff is over."""
         due = []
         while self.heap and self.heap[0].at <= now:
             item = heapq.heappop(self.heap)
-            if self.held.get(item.request_id) == item.number:
-                del self.held[item.request_id]
+            if self.pending.get(item.request_id) == item.number:
+                del self.pending[item.request_id]
                 due.append(item.request_id)
         return due
--- a/src/godwitmast/dispatch/timeouts.py
+++ b/src/godwitmast/dispatch/timeouts.py
@@ -1,91 +1,99 @@
-"""Notices attempts that hang, in time to run them elsewhere.
-
-Load pattern: an engine that hangs, with its connections open and its old load report
-looking fine. Without a time-out a stream there waits until its caller gives up; with a
-fixed one, either quick classes wait far too long or slow prompts are cut while they
-are being read, over and over.
-
-So the patience follows what is usual in the pool (see `pace`), within bounds, and it is
-with the server: a token of any stream on it is a sign of life for all of them, as an
-engine steps them together. A time-out for each stream by itself moves healthy ones that
-wait behind some prompts. Each move draws on the retry budget, so that a spell in which everything is slow does not turn
-into a storm of moves.
+"""Detection of attempts that hang, in time to run them elsewhere.
+
+Load pattern: an engine that hangs with its connections open, while its last load report
+looks normal. Without a time-out a stream there waits until its caller gives up; with a
+fixed one, either interactive classes wait far too long or long prompts are cut off
+again and again while they are prefilled.
+
+So the time-out follows the usual times of the pool (see `pace`), within bounds, and it
+applies to the server: a token of any stream on it shows that all of them are being
+processed, as an engine steps them together. A time-out for each stream by itself would
+move healthy ones that wait behind some prompts. Each move spends from the retry budget,
+so that a period in which everything is slow does not turn into a storm of moves.
 """
 
 import heapq
 
-from godwitmast.dispatch.flights import Flight
+from godwitmast.dispatch.flights import ActiveRequest
 from godwitmast.dispatch.pace import PoolPace
 from godwitmast.types import AttemptId
 
 FIRST_TOKEN_BOUNDS_S = (0.5, 10.0)
 GAP_BOUNDS_S = (0.4, 5.0)
-"""Below these, one long prompt in a batch step looks like a hang; above them, the
-attempt is lost for any class with a target worth the name."""
+"""Below the lower bounds, one long prompt in a batch step looks like a hang; above the
+upper ones, the attempt is too late for any class with a useful target."""
 
 PATIENCE_SHARE = 0.5
-"""Where it is known when callers leave, a first token is waited for half as long: early
-enough for another server, late enough that a busy spell is not taken for a hang."""
+"""Where it is known how long callers wait, the first token is awaited for this share of
+that time: early enough for another server, late enough that a period of high load is
+not taken for a hang."""
 
 GAP_FACTOR = 10.0
-"""Ten tokens' time without a token: a step that reads a chunk of a long prompt takes
-three to four times the usual one."""
+"""The usual time of ten tokens without a token: a step that prefills a chunk of a long
+prompt takes three to four times the usual one."""
 
-STUCK_S = 10.0
-"""How long a stream may get nothing while others on its server get tokens."""
+MAX_STREAM_SILENCE_S = 10.0
+"""How long a stream may get no token while others on its server do."""
 
-WHOLE_FACTOR = 3.0
-"""An answer that does not stream may take this many times what all its tokens would
-usually take."""
+NON_STREAMING_FACTOR = 3.0
+"""An answer that does not stream may take this many times the usual time of all its
+tokens."""
 
 
-def patience_s(flight: Flight, pace: PoolPace) -> float | None:
-    """Return how long the attempt may go on from its server's last sign of life."""
+def silence_limit_s(active: ActiveRequest, pace: PoolPace) -> float | None:
+    """Return how long the attempt may continue after its server's last token.
+
+    None if nothing has been measured in the pool.
+    """
     if pace.median_gap_s is None and pace.first_token_s is None:
         return None
-    first = clamp(pace.late_first_token_s or 0.0, FIRST_TOKEN_BOUNDS_S)
-    if flight.target.patience_s is not None:
-        first = max(first, PATIENCE_SHARE * flight.target.patience_s)
-    gap = pace.median_gap_s or 0.0
-    if not flight.request.streams:
-        return first + WHOLE_FACTOR * gap * flight.request.max_tokens
-    if flight.first_token_at is None:
-        return first
-    return clamp(GAP_FACTOR * gap, GAP_BOUNDS_S)
-
-
-def hangs_at(flight: Flight, server_token_at: float, patience: float) -> float:
-    """Return when the attempt has to be given up, as far as is known now."""
-    if not flight.request.streams:
-        return flight.started_at + patience
-    last = max(flight.last_token_at, server_token_at)
-    return min(last + patience, flight.last_token_at + STUCK_S)
+    first_token_s = clamp(pace.late_first_token_s or 0.0, FIRST_TOKEN_BOUNDS_S)
+    if active.request_class.patience_s is not None:
+        first_token_s = max(
+            first_token_s, PATIENCE_SHARE * active.request_class.patience_s
+        )
+    gap_s = pace.median_gap_s or 0.0
+    if not active.request.streams:
+        return first_token_s + NON_STREAMING_FACTOR * gap_s * active.request.max_tokens
+    if active.first_token_at is None:
+        return first_token_s
+    return clamp(GAP_FACTOR * gap_s, GAP_BOUNDS_S)
+
+
+def hang_deadline(
+    active: ActiveRequest, server_last_token_at: float, limit_s: float
+) -> float:
+    """Return when the attempt counts as hung if no further token arrives."""
+    if not active.request.streams:
+        return active.started_at + limit_s
+    last_token_at = max(active.last_token_at, server_last_token_at)
+    return min(last_token_at + limit_s, active.last_token_at + MAX_STREAM_SILENCE_S)
 
 
 def clamp(value: float, bounds: tuple[float, float]) -> float:
     return min(max(value, bounds[0]), bounds[1])
 
 
-class Watch:
-    """Attempts by when they are to be looked at next.
+class CheckQueue:
+    """Attempts by the time of their next check.
 
-    Tokens do not move an attempt in the heap: when its time comes it is looked at, and
-    put back if it has given a sign of life since. That costs one look for each
-    patience's time, not one for each token.
+    Tokens do not move an attempt in the heap: when its time comes it is checked, and
+    added again if tokens have arrived since. That costs one check per time-out rather
+    than one heap operation per token.
     """
 
     def __init__(self) -> None:
-        self.heap: list[tuple[float, AttemptId, Flight]] = []
+        self.heap: list[tuple[float, AttemptId, ActiveRequest]] = []
 
-    def add(self, flight: Flight, at: float) -> None:
-        assert flight.attempt_id is not None
-        heapq.heappush(self.heap, (at, flight.attempt_id, flight))
+    def add(self, active: ActiveRequest, at: float) -> None:
+        assert active.attempt_id is not None
+        heapq.heappush(self.heap, (at, active.attempt_id, active))
 
-    def take_due(self, now: float) -> list[Flight]:
-        """Return the attempts to look at that still run."""
+    def pop_due(self, now: float) -> list[ActiveRequest]:
+        """Remove and return the attempts that are due for a check and still run."""
         due = []
         while self.heap and self.heap[0][0] <= now:
-            _, attempt_id, flight = heapq.heappop(self.heap)
-            if flight.attempt_id == attempt_id:
-                due.append(flight)
+            _, attempt_id, active = heapq.heappop(self.heap)
+            if active.attempt_id == attempt_id:
+                due.append(active)
         return due
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""How many servers may run one request, whatever becomes of its attempts."""
+"""The bound on the servers that may run one request, however its attempts end."""
 
 import pytest
 
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def router() -> Router:
-    """A router before four servers."""
+    """A router with four servers."""
     router = Router(DOCUMENT, ZoneName("a"))
     servers = [
         BackendSpec(BackendId(f"s{n}"), ZoneName("a"), frozenset(["lm"]), places=8)
@@ -77,22 +77,22 @@
 
 
 def test_moves_count_as_runs_like_failures_do(router: Router) -> None:
-    """A stream breaks, and the server that took it over is then found slow.
+    """A stream breaks, and the server that continued it is then found slow.
 
-    Its route allows two servers. Counted by failures alone, the move to a third one
-    was free, and a fourth and fifth followed.
+    Its route allows two servers. When only failures were counted, the move to a third
+    one was allowed, and a fourth and fifth followed.
     """
     first = submit(router, attempts=2)
     router.failed(first.request_id, first.attempt_id, FailureKind.CUT, 0.1)
     second = next_start(router, 0.1)
     assert isinstance(second, Start) and second.backend_id != first.backend_id
-    assert not router.empty(second.backend_id, CancelReason.SLOW, 1.0)
+    assert not router.move_streams_off(second.backend_id, CancelReason.SLOW, 1.0)
     [refusal] = router.failed("r", second.attempt_id, FailureKind.CUT, 1.2)
     assert isinstance(refusal, Refuse)
     assert refusal.code is RefusalCode.BACKEND_FAILED
 
 
-def test_attempt_that_ran_nowhere_does_not_count(router: Router) -> None:
+def test_attempt_that_did_not_run_does_not_count(router: Router) -> None:
     start = submit(router, attempts=1)
     for now in (0.1, 0.3):
         router.failed("r", start.attempt_id, FailureKind.REFUSED, now)
@@ -103,13 +103,13 @@
     assert isinstance(refusal, Refuse)
 
 
-def test_first_token_is_waited_for_half_as_long_as_the_caller_waits(
+def test_first_token_is_awaited_for_half_of_the_callers_patience(
     router: Router,
 ) -> None:
-    """First tokens come late on all servers of a busy pool, and nothing hangs.
+    """First tokens are late on all servers of a busy pool, and nothing hangs.
 
-    With patience of half a second every such prompt was moved and read again, which
-    made the pool busier.
+    With a time-out of half a second every such prompt was moved and prefilled again,
+    which increased the load of the pool.
     """
     for number in range(20):
         for start in router.submit(request(f"w{number}"), 0.0):
@@ -133,8 +133,9 @@
     return start
 
 
-def victims(router: Router) -> list[Cancel]:
-    """Let chats wait for a place until they are refused; return who gave way."""
+def preempted_by_chats(router: Router) -> list[Cancel]:
+    """Let chats wait for a place until they are refused; return the cancelled
+    attempts."""
     actions: list[Action] = []
     for number in range(3):
         actions += router.submit(request(f"c{number}", at=0.2), 0.2)
@@ -143,19 +144,19 @@
     return [item for item in actions if isinstance(item, Cancel)]
 
 
-def test_request_that_no_other_server_may_run_gives_its_place_to_nobody(
+def test_request_on_its_last_allowed_server_is_not_preempted(
     router: Router,
 ) -> None:
-    """A burst of chats meets a draft on its last allowed server.
+    """A burst of chats arrives while a draft runs on its last allowed server.
 
-    It was interrupted for a chat and queued again, and a further server ran it: more
-    than its route allows. Its caller may pay for each of them.
+    It was preempted for a chat and queued again, and a further server ran it: more than
+    its route allows. Its caller may pay for each of them.
     """
     occupy(router, attempts=1)
-    assert not victims(router)
+    assert not preempted_by_chats(router)
 
 
-def test_request_that_may_run_again_gives_its_place(router: Router) -> None:
+def test_request_that_may_run_again_is_preempted(router: Router) -> None:
     occupy(router, attempts=2)
-    [cancel] = victims(router)
+    [cancel] = preempted_by_chats(router)
     assert cancel.reason is CancelReason.PREEMPTED
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,10 +1,10 @@
-"""Where prompts go, and what is read again, when long ones come among short ones."""
+"""Placement of short and long prompts, and how much of them is prefilled again."""
 
 from dataclasses import dataclass
 
 import pytest
 
-from godwitmast.dispatch.placement import Part, Placement, Prompt, Running
+from godwitmast.dispatch.placement import Part, PoolLoad, Prompt, PromptPlacement
 from godwitmast.types import BackendId, ClassName, ZoneName
 
 ZONE = ZoneName("a")
@@ -13,7 +13,7 @@
 
 @dataclass
 class Engine:
-    """An engine as placement sees it."""
+    """An engine with the properties that placement needs."""
 
     backend_id: BackendId
     zone: ZoneName = ZONE
@@ -34,19 +34,19 @@
 
 
 class Pool:
-    """Several routers that share engines and never talk."""
+    """Several routers that share engines and do not communicate."""
 
     def __init__(self, routers: int = 3, names: list[BackendId] = NAMES) -> None:
         self.engines = {name: Engine(name) for name in names}
-        self.routers = [Placement() for _ in range(routers)]
+        self.routers = [PromptPlacement() for _ in range(routers)]
 
     def place(self, router: int, prompt: Prompt, now: float) -> BackendId:
         placement = self.routers[router]
-        placement.arrived(prompt, now)
+        placement.record_arrival(prompt, now)
         engines = list(self.engines.values())
         chosen = placement.choose(prompt, list(self.engines), engines, ZONE, now)
         assert chosen is not None
-        placement.was_read(chosen, placement.started(chosen, prompt, now))
+        placement.record_prefill(chosen, placement.record_start(chosen, prompt, now))
         return chosen
 
 
@@ -55,9 +55,12 @@
     return Pool()
 
 
-def replay(pool: Pool, seconds: int = 60) -> dict[str, set[BackendId]]:
-    """Play two questions and two summaries a second at each router."""
-    went: dict[str, set[BackendId]] = {"question": set(), "summary": set()}
+def play_mix(pool: Pool, seconds: int = 60) -> dict[str, set[BackendId]]:
+    """Play two questions and two summaries a second at each router.
+
+    Return the engines that each class used after the first five seconds.
+    """
+    used: dict[str, set[BackendId]] = {"question": set(), "summary": set()}
     for second in range(seconds):
         for router in range(len(pool.routers)):
             for half in (0, 1):
@@ -66,60 +69,63 @@
                 for prompt in (question(number), summary(number % 40, number)):
                     chosen = pool.place(router, prompt, now)
                     if second >= 5:
-                        went[prompt.class_name].add(chosen)
-    return went
+                        used[prompt.class_name].add(chosen)
+    return used
 
 
-def test_quick_prompts_and_long_ones_never_share_an_engine(pool: Pool) -> None:
-    """Questions come all the time among long summaries, at routers that do not talk.
+def test_interactive_and_long_prompts_never_share_an_engine(pool: Pool) -> None:
+    """Questions arrive steadily among long summaries, at routers that do not
+    communicate.
 
-    An engine that takes both reads the long prompts between the questions' tokens, and
-    each question there pauses for longer than its callers bear.
+    An engine that serves both prefills the long prompts between the questions' tokens,
+    and each question there pauses for longer than its class allows.
     """
-    went = replay(pool)
-    assert not went["question"] & went["summary"]
-    assert len(went["summary"]) >= 4
+    used = play_mix(pool)
+    assert not used["question"] & used["summary"]
+    assert len(used["summary"]) >= 4
 
 
-def test_all_routers_send_a_shared_opening_to_the_same_engine(pool: Pool) -> None:
-    replay(pool, 10)
+def test_all_routers_send_a_shared_prefix_to_the_same_engine(pool: Pool) -> None:
+    play_mix(pool, 10)
     for subject in range(20):
         chosen = {pool.place(r, summary(subject, r), 20.0) for r in range(3)}
         assert len(chosen) == 1
 
 
-def test_opening_moves_only_where_its_engine_left(pool: Pool) -> None:
-    replay(pool, 10)
+def test_prefix_moves_only_if_its_engine_was_removed(pool: Pool) -> None:
+    play_mix(pool, 10)
     before = {s: pool.place(0, summary(s, 0), 20.0) for s in range(40)}
-    gone = before[0]
-    del pool.engines[gone]
+    removed = before[0]
+    del pool.engines[removed]
     for placement in pool.routers:
-        placement.sent.clear()
+        placement.sent_at.clear()
     after = {s: pool.place(0, summary(s, 1), 21.0) for s in range(40)}
-    order = set(pool.routers[0].group(summary(0, 0), NAMES))
+    order = set(pool.routers[0].group_for(summary(0, 0), NAMES))
     moved = [s for s in before if before[s] != after[s]]
-    still = [s for s in moved if before[s] != gone and before[s] in order]
-    # The border may take one engine of the rest for the quick group.
+    still = [s for s in moved if before[s] != removed and before[s] in order]
+    # The interactive group may grow by one engine of the other group.
     assert len(still) <= 40 / 5 + 4
 
 
-def test_busy_home_gives_way_when_reading_again_is_quicker() -> None:
+def test_busy_preferred_engine_is_passed_over_when_a_repeated_prefill_is_faster() -> (
+    None
+):
     pool = Pool(1)
     prompt = summary(1, 1)
-    home = pool.place(0, prompt, 0.0)
+    preferred = pool.place(0, prompt, 0.0)
     placement = pool.routers[0]
-    placement.unread[home] = 13_300 * 2 + 5_000.0
-    assert pool.place(0, summary(1, 2), 0.1) != home
-    del placement.unread[home]
-    assert pool.place(0, summary(1, 3), 0.2) == home
+    placement.pending_tokens[preferred] = 13_300 * 2 + 5_000.0
+    assert pool.place(0, summary(1, 2), 0.1) != preferred
+    del placement.pending_tokens[preferred]
+    assert pool.place(0, summary(1, 3), 0.2) == preferred
 
 
 def test_pool_with_one_kind_of_prompt_uses_all_engines() -> None:
     pool = Pool(1)
-    went = set()
+    used = set()
     for number in range(600):
-        went.add(pool.place(0, question(number), number / 2))
-    assert went == set(NAMES)
+        used.add(pool.place(0, question(number), number / 2))
+    assert used == set(NAMES)
 
 
 def test_one_engine_takes_everything() -> None:
@@ -135,94 +141,102 @@
     assert pool.place(0, other, 0.1) != first
 
 
-def test_what_is_remembered_of_parts_is_bounded() -> None:
+def test_number_of_tracked_parts_is_bounded() -> None:
     pool = Pool(1)
     for number in range(3_000):
         pool.place(0, question(number), number / 100)
-    assert len(pool.routers[0].sent) <= 4096
+    assert len(pool.routers[0].sent_at) <= 4096
 
 
-def test_quick_streams_go_where_no_engine_is_taken_away() -> None:
+def test_interactive_streams_run_on_engines_that_are_not_reclaimed() -> None:
     """Cheap engines come and go under a steady mix of questions and summaries.
 
-    Questions cannot be moved, so a reclaim cut those that ran there; and engines that
-    changed from one group to the other had long prompts beside questions each time.
+    Questions cannot be moved, so that the reclaim of an engine cut those that ran
+    there; and engines that changed groups ran long prompts beside questions each time.
     """
     pool = Pool()
     stay = set(NAMES[:2])
     for router in pool.routers:
         router.cheap = set(NAMES[2:])
-    went = replay(pool)
-    assert went["question"] <= stay
+    used = play_mix(pool)
+    assert used["question"] <= stay
     for name in NAMES[4:]:
         del pool.engines[name]
-    went = replay(pool)
-    assert went["question"] <= stay
+    used = play_mix(pool)
+    assert used["question"] <= stay
 
 
-def test_burst_of_questions_overflows_to_one_engine_that_all_agree_on() -> None:
-    """Questions come half as often again as their engine was sized for.
+def test_burst_of_questions_overflows_to_the_same_engine_on_all_routers() -> None:
+    """Half as many questions again arrive as their engine was sized for.
 
     Sixty run on it, and each new one's first token takes a second there, while the
-    others run a few requests each. The border between the groups follows in seconds.
+    other engines run a few requests each. The group grows only within seconds.
     """
     pool = Pool()
-    replay(pool)
-    [quick] = pool.routers[0].group(question(0), NAMES)
+    play_mix(pool)
+    [interactive] = pool.routers[0].group_for(question(0), NAMES)
     for engine in pool.engines.values():
         engine.running = 3
-    pool.engines[quick].running = 15
-    assert {pool.place(router, question(1), 60.0) for router in range(3)} == {quick}
-    pool.engines[quick].running = 60
-    went = {pool.place(router, question(2), 60.0) for router in range(3)}
-    assert len(went) == 1
-    assert quick not in went
-
-
-def subject_sources(placement: Placement, members: list[BackendId], now: float) -> int:
-    """Send one summary of each of 40 subjects; return how many may copy its opening."""
+    pool.engines[interactive].running = 15
+    assert {pool.place(router, question(1), 60.0) for router in range(3)} == {
+        interactive
+    }
+    pool.engines[interactive].running = 60
+    used = {pool.place(router, question(2), 60.0) for router in range(3)}
+    assert len(used) == 1
+    assert interactive not in used
+
+
+def subject_sources(
+    placement: PromptPlacement, members: list[BackendId], now: float
+) -> int:
+    """Send one summary of each of 40 subjects; return how many may copy their
+    prefix."""
     copied = 0
     for subject in range(40):
         prompt = summary(subject, subject)
         engines = [Engine(name) for name in members]
         chosen = placement.choose(prompt, members, engines, ZONE, now)
         assert chosen is not None
-        source = placement.source(prompt, chosen, members, now)
+        source = placement.copy_source(prompt, chosen, members, now)
         assert source != chosen
         copied += source is not None
-        placement.was_read(chosen, placement.started(chosen, prompt, now))
+        placement.record_prefill(chosen, placement.record_start(chosen, prompt, now))
     return copied
 
 
-def test_prompt_that_passes_its_busy_home_copies_its_opening_from_there() -> None:
-    """A burst fills the engine that has read an opening; another one, which would read
-    13,300 tokens again, copies them in a seventh of that time."""
-    placement = Placement()
+def test_prompt_that_skips_its_busy_preferred_engine_copies_its_prefix_from_there() -> (
+    None
+):
+    """A burst fills the engine that has a prefix cached. Another engine would have to
+    prefill its 13,300 tokens again, and copies them in a seventh of that time."""
+    placement = PromptPlacement()
     prompt = summary(1, 1)
     engines = {name: Engine(name) for name in NAMES}
-    home = placement.choose(prompt, NAMES, list(engines.values()), ZONE, 1.0)
-    assert home is not None
-    placement.was_read(home, placement.started(home, prompt, 1.0))
-    engines[home].running = 1000.0
+    preferred = placement.choose(prompt, NAMES, list(engines.values()), ZONE, 1.0)
+    assert preferred is not None
+    placement.record_prefill(preferred, placement.record_start(preferred, prompt, 1.0))
+    engines[preferred].running = 1000.0
     other = placement.choose(summary(1, 2), NAMES, list(engines.values()), ZONE, 2.0)
-    assert other is not None and other != home
-    assert placement.source(summary(1, 2), other, NAMES, 2.0) == home
-    assert placement.source(summary(1, 2), home, NAMES, 2.0) is None
+    assert other is not None and other != preferred
+    assert placement.copy_source(summary(1, 2), other, NAMES, 2.0) == preferred
+    assert placement.copy_source(summary(1, 2), preferred, NAMES, 2.0) is None
 
 
-def test_engine_that_joined_copies_from_where_the_openings_were() -> None:
-    """A server starts and ranks first for a sixth of the openings, and holds none."""
-    placement = Placement()
+def test_new_engine_copies_prefixes_from_their_previous_engines() -> None:
+    """A server starts, ranks first for a sixth of the prefixes, and has none of them
+    cached."""
+    placement = PromptPlacement()
     assert subject_sources(placement, NAMES[:-1], 100.0) == 0
     assert subject_sources(placement, NAMES, 201.0) > 2
     assert subject_sources(placement, NAMES, 300.0) == 0
 
 
-def test_little_is_read_sooner_than_copied() -> None:
-    placement = Placement()
+def test_short_shared_part_is_prefilled_rather_than_copied() -> None:
+    placement = PromptPlacement()
     parts = (Part("tone", 100), Part("own", 900))
     prompt = Prompt(ClassName("question"), 1000, parts)
-    assert placement.source(prompt, NAMES[0], NAMES, 1.0) is None
+    assert placement.copy_source(prompt, NAMES[0], NAMES, 1.0) is None
 
 
 def mark(number: int) -> Prompt:
@@ -230,40 +244,39 @@
     return Prompt(ClassName("mark"), 1_800, parts)
 
 
-def test_short_prompts_that_bear_longer_pauses_leave_the_tightest_streams_alone() -> (
-    None
-):
-    """Marks come in clumps. Each is read in a moment, but four in a row hold up the
-    questions' streams on their engine for longer than those bear, and not each other."""
-    placement = Placement()
+def test_short_prompts_with_longer_allowed_gaps_avoid_the_strictest_streams() -> None:
+    """Marks arrive in clusters. Each is prefilled quickly, but four in a row delay the
+    questions' streams on their engine by more than those allow, and not each other's.
+    """
+    placement = PromptPlacement()
     for number in range(40):
-        placement.arrived(question(number), number / 10, 0.15)
-        placement.arrived(mark(number), number / 10, 0.25)
-        placement.arrived(summary(number, number), number / 10, 0.6)
-    assert placement.is_quick(question(1))
-    assert not placement.is_quick(mark(1))
-    assert not set(placement.group(question(1), NAMES)) & set(
-        placement.group(mark(1), NAMES)
+        placement.record_arrival(question(number), number / 10, 0.15)
+        placement.record_arrival(mark(number), number / 10, 0.25)
+        placement.record_arrival(summary(number, number), number / 10, 0.6)
+    assert placement.is_interactive(question(1))
+    assert not placement.is_interactive(mark(1))
+    assert not set(placement.group_for(question(1), NAMES)) & set(
+        placement.group_for(mark(1), NAMES)
     )
 
 
-def test_long_answers_to_short_prompts_get_engines_by_the_places_they_hold() -> None:
-    """Questions are a tenth of the tokens, and half of what is held at any time.
+def test_short_prompts_with_long_answers_get_engines_by_their_place_seconds() -> None:
+    """Questions are a tenth of the tokens, and half of the place-seconds.
 
     Sized by tokens alone, their one engine of 32 places had no room for forty of them,
-    and the rest paused beside long prompts. In a burst to twice as many the group
-    follows at once.
+    and the rest paused beside long prompts. In a burst to twice as many the group grows
+    at once.
     """
-    placement = Placement()
+    placement = PromptPlacement()
     for number in range(200):
         now = number / 20
-        placement.arrived(question(number), now, 0.15)
-        placement.arrived(summary(number, number), now, 0.6)
-        placement.ended(question(number), 2.0, now)
-        placement.ended(summary(number, number), 2.0, now)
+        placement.record_arrival(question(number), now, 0.15)
+        placement.record_arrival(summary(number, number), now, 0.6)
+        placement.record_end(question(number), 2.0, now)
+        placement.record_end(summary(number, number), 2.0, now)
     names = [BackendId(f"e{number}") for number in range(12)]
-    calm = placement.group(question(1), names, Running(80.0, 32.0))
-    burst = placement.group(question(1), names, Running(160.0, 32.0))
+    calm = placement.group_for(question(1), names, PoolLoad(80.0, 32.0))
+    burst = placement.group_for(question(1), names, PoolLoad(160.0, 32.0))
     assert len(calm) == 2
     assert len(burst) == 4
     assert set(calm) <= set(burst)
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -11,7 +11,7 @@
 from godwitmast.admission.queue import Admission
 from godwitmast.config.document import Document
 from godwitmast.config.parsing import parse_document
-from godwitmast.dispatch.flights import Flight
+from godwitmast.dispatch.flights import ActiveRequest
 from godwitmast.dispatch.messages import (
     Action,
     BackendSpec,
@@ -24,7 +24,7 @@
     RequestSpec,
     Start,
 )
-from godwitmast.dispatch.retries import RESERVE
+from godwitmast.dispatch.retries import BUDGET_CAPACITY
 from godwitmast.dispatch.router import MAX_FAILURES, Router
 from godwitmast.types import AttemptId, BackendId, RequestId, ZoneName
 
@@ -55,9 +55,9 @@
 
 @pytest.fixture
 def router(document: Document) -> Router:
-    made = Router(document, ZoneName("a"), seed=7)
-    made.update_backends([server(n) for n in range(4)], 0.0)
-    return made
+    router = Router(document, ZoneName("a"), seed=7)
+    router.update_backends([server(n) for n in range(4)], 0.0)
+    return router
 
 
 def request(number: int, **changes: Any) -> RequestSpec:
@@ -84,7 +84,7 @@
 def run_until(
     router: Router, now: float, end: float, wanted: Callable[[Action], bool]
 ) -> tuple[float, Any]:
-    """Tick until an action is `wanted`; return when, and the action."""
+    """Tick until an action is `wanted`; return the time, and the action."""
     while now < end:
         now += 0.05
         for action in router.tick(now):
@@ -105,16 +105,19 @@
     assert second.resume_from == 5
     assert second.backend_id != first.backend_id
     assert router.tokens_came(first.request_id, first.attempt_id, 9, 1.5) == []
-    assert router.book.flights[first.request_id].tokens == 5
+    assert router.book.by_id[first.request_id].tokens == 5
 
 
 @pytest.mark.parametrize("kind", list(FailureKind))
-def test_non_idempotent_call_runs_again_only_if_nothing_ran(
+def test_non_idempotent_request_is_retried_only_if_nothing_ran(
     router: Router, kind: FailureKind
 ) -> None:
-    """A payment's attempt fails. Only if no byte left, or the server itself says that
-    it ran nothing, may another attempt be made; else the caller hears that the outcome
-    is not known, and at once."""
+    """An attempt of a payment fails.
+
+    Only if no byte was sent, or the server itself reports that it ran nothing, may
+    another attempt be made; otherwise the caller gets a refusal at once, with an unknown
+    outcome.
+    """
     first = started(router, request(1, pool=SERVICE, idempotent=False, resumable=False))
     actions = router.failed(first.request_id, first.attempt_id, kind, 0.1)
     if kind in (FailureKind.CONNECT, FailureKind.REFUSED):
@@ -126,12 +129,12 @@
     assert refusal.not_run is NotRun.UNKNOWN
 
 
-def test_non_idempotent_call_is_moved_by_no_time_out_and_no_eviction(
+def test_non_idempotent_request_is_not_moved_by_time_outs_or_evictions(
     router: Router,
 ) -> None:
     first = started(router, request(1, idempotent=False))
     warm_up(router, 10)
-    leaving = server(int(first.backend_id[-1]), leaving=True, gone_at=16.0)
+    leaving = server(int(first.backend_id[-1]), leaving=True, removal_at=16.0)
     rest = [server(n) for n in range(4) if server(n).backend_id != first.backend_id]
     router.update_backends([leaving, *rest], 11.0)
     now = 11.0
@@ -141,7 +144,7 @@
 
 
 def warm_up(router: Router, until: float) -> None:
-    """Let answers come at 20 ms a token, so that the pool's pace is known."""
+    """Let answers arrive at 20 ms a token, so that the pool's usual gap is known."""
     for number in range(100, 120):
         now = until - 1.0
         start = started(router, request(number, arrived=now), now)
@@ -151,11 +154,11 @@
         router.finished(start.request_id, start.attempt_id, now)
 
 
-def test_hung_attempt_is_moved_and_its_server_left_out(router: Router) -> None:
+def test_hung_attempt_is_moved_and_its_server_ejected(router: Router) -> None:
     """An engine hangs: its connections stay open and no stream gets a token.
 
-    Each stream is cancelled after its patience and goes on elsewhere from its last
-    token; after the second one the server gets no more new work.
+    Each stream is cancelled after its time-out and continues elsewhere from its last
+    token; after the second one the server gets no more new requests.
     """
     warm_up(router, 10.0)
     streams = [started(router, request(n, arrived=10.0), 10.0) for n in range(1, 9)]
@@ -178,17 +181,19 @@
     assert cancelled.keys() == again.keys() == stuck.keys()
     assert {a.reason for a in cancelled.values()} == {CancelReason.SLOW}
     assert hung not in {start.backend_id for start in again.values()}
-    assert not router.backends.states[hung].health.is_in()
+    assert not router.backends.states[hung].health.is_in_rotation()
 
 
-def test_streams_leave_an_evicted_server_before_its_end(router: Router) -> None:
+def test_streams_are_moved_off_an_evicted_server_before_its_removal(
+    router: Router,
+) -> None:
     streams = [started(router, request(n)) for n in range(8)]
     gone = streams[0].backend_id
-    aboard = {s.request_id for s in streams if s.backend_id == gone}
+    on_server = {s.request_id for s in streams if s.backend_id == gone}
     specs = [server(n) for n in range(4)]
     router.update_backends(
         [
-            s._replace(leaving=True, gone_at=6.0) if s.backend_id == gone else s
+            s._replace(leaving=True, removal_at=6.0) if s.backend_id == gone else s
             for s in specs
         ],
         1.0,
@@ -202,10 +207,10 @@
                 moved.add(action.request_id)
             if isinstance(action, Start):
                 assert action.backend_id != gone
-    assert moved == aboard
+    assert moved == on_server
 
 
-def test_refused_connection_takes_the_server_out_at_once(router: Router) -> None:
+def test_refused_connection_ejects_the_server_at_once(router: Router) -> None:
     first = started(router, request(1))
     router.failed(first.request_id, first.attempt_id, FailureKind.CONNECT, 0.0)
     others = [started(router, request(n)) for n in range(2, 20)]
@@ -213,9 +218,9 @@
 
 
 def test_poison_crashes_two_servers_and_is_then_refused(router: Router) -> None:
-    """A request crashes its engine, and the next; its caller sends it each second.
+    """A request crashes its engine, and the next; its caller resends it each second.
 
-    The streams that shared those engines go on. The third copy reaches no server.
+    The streams that shared those engines continue. The third copy reaches no server.
     """
     innocent = [started(router, request(n)) for n in range(2, 14)]
     bad = started(router, request(1, fingerprint="bad"))
@@ -244,7 +249,7 @@
     for start in owners.values():
         router.tokens_came(start.request_id, start.attempt_id, 1, now + 5)
         router.finished(start.request_id, start.attempt_id, now + 5)
-    assert len(router.book.flights) + len(owners) <= len(innocent)
+    assert len(router.book.by_id) + len(owners) <= len(innocent)
 
 
 def refused_poison(action: Action) -> None:
@@ -252,7 +257,9 @@
         assert (action.request_id, action.code) == ("r1", RefusalCode.QUARANTINED)
 
 
-def test_no_backend_server_is_said_at_once(document: Document) -> None:
+def test_request_without_a_backend_server_is_refused_at_once(
+    document: Document,
+) -> None:
     router = Router(document, ZoneName("a"))
     router.update_backends([server(1, leaving=True)], 0.0)
     refusal = only(router.submit(request(1), 0.0), Refuse)
@@ -260,25 +267,26 @@
     assert refusal.retry_after_s
 
 
-def test_spent_retry_budget_ends_retries_until_successes_fill_it(
+def test_empty_retry_budget_stops_retries_until_successes_refill_it(
     router: Router,
 ) -> None:
-    router.budgets.of(POOL).left = 0.5
+    router.budgets.for_pool(POOL).remaining = 0.5
     first = started(router, request(1))
     actions = router.failed(first.request_id, first.attempt_id, FailureKind.ERROR, 0.1)
     assert only(actions, Refuse).retry_after_s
     for number in range(2, 12):
         start = started(router, request(number))
         router.finished(start.request_id, start.attempt_id, 0.2)
-    assert 1 <= router.budgets.of(POOL).left < RESERVE
+    assert 1 <= router.budgets.for_pool(POOL).remaining < BUDGET_CAPACITY
     second = started(router, request(20))
     ids = (second.request_id, second.attempt_id)
     assert not router.failed(*ids, FailureKind.ERROR, 0.3)
 
 
-def test_pool_that_fails_takes_no_repeats_from_another(router: Router) -> None:
-    """A service fails for all, and spends its repeats; engines crash in that moment."""
-    router.budgets.of(SERVICE).left = 0.0
+def test_failing_pool_uses_no_retries_of_another(router: Router) -> None:
+    """A service fails completely and spends its retries, and engines crash at that
+    moment."""
+    router.budgets.for_pool(SERVICE).remaining = 0.0
     first = started(router, request(1, pool=SERVICE))
     ids = (first.request_id, first.attempt_id)
     assert only(router.failed(*ids, FailureKind.ERROR, 0.1), Refuse).retry_after_s
@@ -287,13 +295,14 @@
     assert not router.failed(*ids, FailureKind.ERROR, 0.1)
 
 
-def test_server_that_takes_no_connection_costs_no_retry(router: Router) -> None:
-    """A zone is cut off: connections to its servers fail, and nothing arrives there.
+def test_refused_connection_spends_no_retry(router: Router) -> None:
+    """A zone is partitioned: connections to its servers fail, and nothing arrives
+    there.
 
-    Each of those requests drew on the retry budget, which was empty within a second;
-    the rest were refused although every server in reach had room.
+    When each of those requests spent from the retry budget, it was empty within a
+    second; the rest were refused although every reachable server had room.
     """
-    router.budgets.of(POOL).left = 0.0
+    router.budgets.for_pool(POOL).remaining = 0.0
     first = started(router, request(1))
     assert not router.failed("r1", first.attempt_id, FailureKind.CONNECT, 0.3)
     now, second = run_until(router, 0.3, 0.5, is_start)
@@ -303,14 +312,14 @@
 
 
 def test_request_probes_one_server_at_most(router: Router) -> None:
-    """Three of four servers are behind a cut, and due to be tried again.
+    """Three of four servers are behind a network partition, and due for a probe.
 
-    A draft tried one after the other and waited out a connect time-out for each, though
-    the fourth had room all the while.
+    A draft probed one after the other and waited for a connect time-out each time,
+    although the fourth had room all along.
     """
     names = [server(n).backend_id for n in range(4)]
     for name in names[1:]:
-        router.backends.went_down(name, 0.0)
+        router.backends.record_connection_failure(name, 0.0)
     router.tick(2.0)
     draft = request(1, class_name="draft", arrived=2.0)
     probe = started(router, draft, 2.0)
@@ -346,7 +355,7 @@
 
 
 class Caller:
-    """Drives a router with any event, and checks what comes back."""
+    """Drives a router with any event, and checks the actions that it returns."""
 
     def __init__(self, router: Router) -> None:
         self.router = router
@@ -356,7 +365,7 @@
         self.runs: Counter[RequestId] = Counter()
         self.most: dict[RequestId, int | None] = {}
 
-    def note(self, actions: list[Action]) -> None:
+    def apply_actions(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
                 case Start(request_id, attempt_id):
@@ -379,38 +388,38 @@
     def submit(self, spec: RequestSpec) -> None:
         self.open.add(spec.request_id)
         self.most[spec.request_id] = spec.attempts
-        self.note(self.router.submit(spec, spec.arrived))
+        self.apply_actions(self.router.submit(spec, spec.arrived))
 
-    def happen(self, event: Any, pick: int, now: float) -> None:
-        """Let something happen to one of the attempts that run."""
+    def apply_event(self, event: Any, pick: int, now: float) -> None:
+        """Apply an event to one of the running attempts."""
         request_id = sorted(self.owner)[pick % len(self.owner)]
         attempt_id = self.owner[request_id]
         router = self.router
         match event:
             case "token":
                 self.ran.add(request_id)
-                self.note(router.tokens_came(request_id, attempt_id, 1, now))
+                self.apply_actions(router.tokens_came(request_id, attempt_id, 1, now))
             case "finish":
                 del self.owner[request_id]
                 self.open.remove(request_id)
-                self.note(router.finished(request_id, attempt_id, now))
+                self.apply_actions(router.finished(request_id, attempt_id, now))
             case "withdraw":
                 self.open.remove(request_id)
                 reason = CancelReason.CALLER_GONE
-                self.note(router.withdraw(request_id, reason, now))
+                self.apply_actions(router.withdraw(request_id, reason, now))
             case _:
                 del self.owner[request_id]
                 if event not in (FailureKind.CONNECT, FailureKind.REFUSED):
                     self.ran.add(request_id)
                 else:
                     self.runs[request_id] -= 1
-                self.note(router.failed(request_id, attempt_id, event, now))
+                self.apply_actions(router.failed(request_id, attempt_id, event, now))
 
     def check(self) -> None:
         book, states = self.router.book, self.router.backends.states
-        assert set(book.flights) == self.open
+        assert set(book.by_id) == self.open
         for name, state in states.items():
-            assert state.in_flight == len(book.aboard.get(name, {}))
+            assert state.in_flight == len(book.by_server.get(name, {}))
 
 
 CROWDED_EVENTS = st.lists(
@@ -428,7 +437,7 @@
     events: list[tuple[Any, int]],
     make: Callable[[Any, int], dict[str, Any]],
 ) -> None:
-    """Play events; `make` returns how the request of an event differs from others."""
+    """Play events; `make` returns the properties of an event's request."""
     caller = Caller(router)
     now = 0.0
     for number, (event, pick) in enumerate(events):
@@ -437,14 +446,15 @@
             caller.submit(request(number, arrived=now, **make(event, pick)))
         elif event == "tick":
             now += pick / 10
-            caller.note(router.tick(now))
+            caller.apply_actions(router.tick(now))
         elif caller.owner:
-            caller.happen(event, pick, now)
+            caller.apply_event(event, pick, now)
         caller.check()
 
 
 def play_crowded(router: Router, events: list[tuple[Any, int]]) -> None:
-    """Play events on two servers of one place each, for both tiers and bounded runs."""
+    """Play events on two servers with one place each, with both tiers and bounded
+    attempts."""
     router.update_backends([server(n, places=1) for n in range(2)], 0.0)
     play(
         router,
@@ -466,7 +476,7 @@
 
 
 class Forgetful(Admission):
-    """Lets any stream be interrupted, whatever its route allows."""
+    """Lets any stream be preempted, whatever its route allows."""
 
     def tokens_came(
         self, request: RequestSpec, count: int, now: float, may_move: bool = True
@@ -475,16 +485,16 @@
 
 
 class Careless(Router):
-    """Interrupts what may not run again."""
+    """Preempts requests that may not run again."""
 
-    def interrupt(self, victim: Flight, now: float) -> Cancel:
-        victim.runs -= 1
-        cancel = super().interrupt(victim, now)
-        victim.runs += 1
+    def cancel_preempted(self, victim: ActiveRequest, now: float) -> Cancel:
+        victim.run_count -= 1
+        cancel = super().cancel_preempted(victim, now)
+        victim.run_count += 1
         return cancel
 
 
-def test_explorer_finds_a_router_that_interrupts_what_may_not_run_again(
+def test_explorer_finds_a_router_that_preempts_what_may_not_run_again(
     document: Document,
 ) -> None:
     @settings(
@@ -524,12 +534,12 @@
     )
 
 
-def test_cut_streams_resume_although_every_place_is_wanted(router: Router) -> None:
-    """A server crashes while all are full and others wait for each place.
+def test_cut_streams_resume_while_requests_wait_for_every_place(router: Router) -> None:
+    """A server crashes while all are full and other requests wait for each place.
 
-    Its streams are suspects and may not share a server for a while. Were they to look
-    for a free place only now and then, the queue would take each one before them, and
-    their callers would wait with half an answer for as long as the burst lasts.
+    Its streams are suspects and may not share a server for a while. If they only looked
+    for a free place now and then, queued requests would get each one before them, and
+    their callers would wait with half an answer as long as the burst lasts.
     """
     running: dict[RequestId, Start] = {}
     numbers = iter(range(1000))
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -1,4 +1,5 @@
-"""Which requests engines and queues put first, by the operators' configuration."""
+"""The order of requests in engines and queues according to the operators'
+configuration."""
 
 from itertools import count
 
@@ -22,13 +23,13 @@
 """Three kinds of request by their route's priority."""
 
 TOKENS = {CHAT: (1_460, 80), DRAFT: (9_190, 30), DIGEST: (17_020, 60)}
-"""Prompt and answer of each kind."""
+"""Prompt and answer tokens of each kind."""
 
 TEAMS = {"gold": 0, "many": 1}
 
 
 def front_of(**teams: int) -> RouteFront:
-    """Return a front with three streaming routes and teams of these priorities."""
+    """Return a front with three streaming routes and teams with these priorities."""
     routes = [
         route(f"r{kind}", f"/{kind}/", "streaming", "lm", priority=kind, resumable=True)
         for kind in TOKENS
@@ -44,7 +45,7 @@
 
 
 def prepare(front: RouteFront, kind: int, team: str) -> Prepared:
-    """Return a request of a kind as it would be routed."""
+    """Return a request of a kind as the front prepares it."""
     key = f"key-of-{team}"
     path = f"/{kind}/x"
     envelope = Envelope("POST", path, path, "", [], key, None, 60.0, None, "a", HOST)
@@ -56,13 +57,14 @@
 
 
 def priority_sent(front: RouteFront, kind: int, team: str) -> int:
-    """Return the priority that an engine is sent with a request."""
+    """Return the priority that is sent to an engine with a request."""
     headers = dict(prepare(front, kind, team).outbound.headers)  # type: ignore[attr-defined]
     return int(headers[REQUEST_PRIORITY])
 
 
-def test_no_request_loses_its_place_in_an_engine_to_spare_a_less_urgent_kind() -> None:
-    """Guards against summaries of one team that outlast the questions of all others."""
+def test_engine_preempts_no_request_while_it_runs_a_less_urgent_kind() -> None:
+    """Guards against summaries of one team that keep running while questions of all
+    others are preempted."""
     front = front_of(**TEAMS)
     engine = EngineModel(EngineSpeed(max_batch=16, preempts=True))
     kinds: dict[str, int] = {}
@@ -99,10 +101,11 @@
     "changed",
     [{"many": 1}, {"gold": 0, "many": 2}, {"gold": 3, "many": 7}, {"many": 0}],
 )
-def test_change_of_teams_moves_no_kind_before_another_in_engines(
+def test_change_of_teams_keeps_the_order_of_kinds_in_engines(
     changed: dict[str, int],
 ) -> None:
-    """Guards against VMs of two configurations that order an engine differently."""
+    """Guards against VMs on two configurations that order an engine's requests
+    differently."""
     before, after = front_of(**TEAMS), front_of(**changed)
     for kind in (CHAT, DRAFT):
         held = priority_sent(before, kind + 1, "many")
@@ -111,8 +114,8 @@
         assert priority_sent(before, kind, "many") < held
 
 
-def test_engine_is_told_the_priority_of_a_request_without_a_stream() -> None:
-    """Guards against requests that an engine ranks by its default."""
+def test_non_streaming_request_is_sent_with_its_priority() -> None:
+    """Guards against requests that an engine runs at its default priority."""
     routes = [route("r", "/0/", "idempotent", "lm", priority=0)]
     tenants = [{"name": "many", "apiKeys": ["key-of-many"], "priority": 1}]
     front = RouteFront()
@@ -121,14 +124,14 @@
     assert priority_sent(front, CHAT, "many") == 0
 
 
-def test_engines_are_told_no_priority_beyond_their_range() -> None:
+def test_engine_priority_is_clamped_to_its_range() -> None:
     assert [engine_priority(p) for p in (-1, 0, 5, 9, 10, 99)] == [0, 0, 5, 9, 9, 9]
 
 
-def interrupted(
+def find_preempted(
     front: RouteFront, running: list[str], waiting: str
 ) -> RequestSpec | None:
-    """Return which of the running requests gives way to one that waits, if any does.
+    """Return which of the running requests is preempted for a waiting one, if any is.
 
     Each is named by its team and kind, such as "many-1".
     """
@@ -159,12 +162,12 @@
         (["gold-2"], "many-0", None),
     ],
 )
-def test_request_is_interrupted_for_no_less_urgent_kind(
+def test_request_is_preempted_for_no_less_urgent_kind(
     running: list[str], waiting: str, victim: str | None
 ) -> None:
-    """Guards against drafts that give way to the summaries of another team."""
+    """Guards against drafts that are preempted for the summaries of another team."""
     front = front_of(**TEAMS)
-    found = interrupted(front, running, waiting)
+    found = find_preempted(front, running, waiting)
     if victim is None:
         assert found is None
     else:
@@ -185,10 +188,11 @@
         (DIGEST, False, False),
     ],
 )
-def test_all_but_the_last_kind_of_every_team_may_go_to_a_full_engine(
+def test_all_but_the_last_kind_of_every_team_may_be_sent_to_a_full_engine(
     kind: int, team: str, excess_waits: bool, goes: bool
 ) -> None:
-    """Guards against requests turned away while other VMs' summaries hold engines."""
+    """Guards against requests that are refused while other VMs' summaries occupy
+    engines."""
     front = front_of(**TEAMS)
     admission = Admission(front.document)
     request = prepare(front, kind, team).spec
@@ -201,7 +205,7 @@
     assert [preemption.request for preemption in alone] == [request] * goes
 
 
-def test_draft_goes_to_a_full_engine_only_when_it_would_be_refused() -> None:
+def test_draft_is_sent_to_a_full_engine_only_when_it_would_be_refused() -> None:
     """Guards against engines overfilled by requests that could still wait."""
     front = front_of(**TEAMS)
     admission = Admission(front.document)
@@ -213,10 +217,9 @@
     assert admission.preempt(request.pool, urgent_at, True, True) is not None
 
 
-def test_draft_interrupts_a_summary_of_its_own_vm_before_it_overfills_an_engine() -> (
-    None
-):
-    """Guards against places given up inside engines that this VM could have freed."""
+def test_draft_preempts_a_summary_of_its_own_vm_before_it_overfills_an_engine() -> None:
+    """Guards against preemption inside engines when this VM could have freed a place
+    itself."""
     front = front_of(**TEAMS)
     admission = Admission(front.document)
     running = prepare(front, DIGEST, "many").spec
@@ -232,7 +235,7 @@
 
 
 def test_kinds_stay_apart_in_queues_however_many_priorities_there_are() -> None:
-    """Guards against classes of unlike urgency that share one queue."""
+    """Guards against classes of different urgency that share one queue."""
     ranks = Ranks(set(range(3)), set(range(7)))
     pairs = [(team, kind) for team in range(7) for kind in range(3)]
     order = [ranks.of(kind, team) for team, kind in pairs]
@@ -246,7 +249,7 @@
 def test_request_reaches_a_full_engine_before_the_router_refuses_it(
     kind: int, sent: bool
 ) -> None:
-    """Guards against drafts refused by VMs that have no place on any engine's list."""
+    """Guards against drafts refused by VMs that run nothing that they could preempt."""
     front = front_of(**TEAMS)
     router = Router(front.document, ZoneName("a"), seed=1)
     pools = frozenset(["lm"])
@@ -258,7 +261,7 @@
     for _ in engines:
         running = prepare(front, CHAT, "many").spec
         router.submit(running, 0.0)
-        assert router.book.flights[running.request_id].backend_id is not None
+        assert router.book.by_id[running.request_id].backend_id is not None
     waiting = prepare(front, kind, "many").spec
     assert router.submit(waiting, 0.1) == []
     actions = [action for tick in range(2, 400) for action in router.tick(tick * 0.05)]
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -1,4 +1,4 @@
-"""What all routers together send to a server that is cold."""
+"""What all routers together send to a cold server."""
 
 import random
 from collections.abc import Callable
@@ -17,14 +17,14 @@
 )
 from godwitmast.dispatch.router import Router
 from godwitmast.dispatch.warmup import (
-    EXCESS_CHANCE,
-    LONGEST_S,
-    RESTART_NEWS_S,
+    MAX_EXCESS_PROBABILITY,
+    MAX_REPORTED_COLD_S,
+    RESTART_DETECTION_S,
     TURN_S,
     Warmup,
     WarmupLimit,
-    excess_chance,
-    safe_rate,
+    excess_probability,
+    safe_rate_per_s,
 )
 from godwitmast.types import BackendId, RequestId, ZoneName
 
@@ -34,7 +34,7 @@
 
 
 def busiest_second(times: list[float]) -> int:
-    """Return the most of `times` in any span of one second."""
+    """Return the largest number of `times` within one second."""
     times = sorted(times)
     first = most = 0
     for place, at in enumerate(times):
@@ -45,10 +45,10 @@
 
 
 @dataclass
-class Crowd:
+class EagerRouters:
     """Routers that always have a request for the one cold server.
 
-    They hear of its start at unlike times, and some restart meanwhile.
+    They learn of its start at different times, and some restart meanwhile.
     """
 
     routers: int
@@ -58,75 +58,79 @@
     lag_s: float = 1.5
     sent: list[float] = field(default_factory=list)
 
-    def play(self, advance: Callable[..., None] = Warmup.advance) -> None:
-        draw = random.Random(self.seed)
-        period_s = RouterCount(self.counted or self.routers).most / safe_rate(LIMIT)
+    def simulate(self, advance: Callable[..., None] = Warmup.advance) -> None:
+        rng = random.Random(self.seed)
+        period_s = RouterCount(self.counted or self.routers).most / safe_rate_per_s(
+            LIMIT
+        )
         warmups = [Warmup() for _ in range(self.routers)]
-        heard = [draw.uniform(0.0, self.lag_s) for _ in warmups]
-        ticks = [draw.uniform(0.0, STEP_S) for _ in warmups]
+        learned_at = [rng.uniform(0.0, self.lag_s) for _ in warmups]
+        ticks = [rng.uniform(0.0, STEP_S) for _ in warmups]
         for step in range(int(LIMIT.start_s / STEP_S)):
             for number, warmup in enumerate(warmups):
                 now = step * STEP_S + ticks[number]
-                if now < heard[number]:
+                if now < learned_at[number]:
                     continue
-                if self.restarts and draw.random() < STEP_S:
+                if self.restarts and rng.random() < STEP_S:
                     warmup = warmups[number] = Warmup()
                 if not warmup.is_cold(now):
-                    warmup.told(LIMIT.start_s, now)
-                advance(warmup, period_s, now, draw)
+                    warmup.record_report(LIMIT.start_s, now)
+                advance(warmup, period_s, now, rng)
                 if warmup.may_send(now):
-                    warmup.sent(period_s, now)
+                    warmup.use_turn(period_s, now)
                     self.sent.append(now)
 
 
 @pytest.mark.parametrize("restarts", [False, True])
 @pytest.mark.parametrize("routers", [3, 65, 300])
-def test_cold_server_gets_no_more_than_it_bears_in_any_second(
+def test_cold_server_gets_no_more_than_its_limit_in_any_second(
     routers: int, restarts: bool
 ) -> None:
-    """Each of hundreds of routers sends the emptiest server its next request at once."""
+    """Each of hundreds of routers sends the least loaded server its next request at
+    once."""
     for seed in range(100):
-        crowd = Crowd(routers, seed, restarts=restarts)
-        crowd.play()
-        assert busiest_second(crowd.sent) <= LIMIT.most
+        routers_sending = EagerRouters(routers, seed, restarts=restarts)
+        routers_sending.simulate()
+        assert busiest_second(routers_sending.sent) <= LIMIT.most
 
 
-def test_check_of_the_bound_catches_turns_that_begin_at_once() -> None:
+def test_check_of_the_limit_detects_turns_that_start_at_once() -> None:
     def at_once(
-        warmup: Warmup, period_s: float, now: float, draw: random.Random
+        warmup: Warmup, period_s: float, now: float, rng: random.Random
     ) -> None:
         if warmup.turn_at == float("inf"):
             warmup.turn_at = now
 
-    crowd = Crowd(65, 0)
-    crowd.play(at_once)
-    assert busiest_second(crowd.sent) > LIMIT.most
+    routers_sending = EagerRouters(65, 0)
+    routers_sending.simulate(at_once)
+    assert busiest_second(routers_sending.sent) > LIMIT.most
 
 
 @pytest.mark.parametrize("routers", [3, 65, 300])
-def test_cold_server_is_used_at_a_good_part_of_what_it_bears(routers: int) -> None:
-    """A zone of cold servers would come back into service more slowly than it may."""
+def test_cold_server_gets_a_useful_part_of_its_limit(routers: int) -> None:
+    """Too few turns would bring a zone of cold servers into service more slowly than
+    allowed."""
     total = 0
     for seed in range(50):
-        crowd = Crowd(routers, seed, lag_s=0.0)
-        crowd.play()
-        total += len(crowd.sent)
+        routers_sending = EagerRouters(routers, seed, lag_s=0.0)
+        routers_sending.simulate()
+        total += len(routers_sending.sent)
     assert total / 50 / LIMIT.start_s >= 0.25 * LIMIT.per_s
 
 
-def test_rate_keeps_the_chance_of_an_excess_small() -> None:
-    rate = safe_rate(LIMIT)
+def test_rate_keeps_the_probability_of_an_excess_small() -> None:
+    rate = safe_rate_per_s(LIMIT)
     assert 0 < rate <= LIMIT.per_s
-    assert excess_chance(rate * (1 + TURN_S), LIMIT.most) <= EXCESS_CHANCE
+    assert excess_probability(rate * (1 + TURN_S), LIMIT.most) <= MAX_EXCESS_PROBABILITY
     wide = LIMIT._replace(most=100.0)
-    assert safe_rate(wide) == wide.per_s
+    assert safe_rate_per_s(wide) == wide.per_s
 
 
-def test_server_that_says_it_is_cold_for_hours_is_not_believed() -> None:
+def test_reported_warm_up_time_is_bounded() -> None:
     warmup = Warmup()
-    warmup.told(1e9, 0.0)
-    assert not warmup.is_cold(LONGEST_S)
-    warmup.told(-5.0, 0.0)
+    warmup.record_report(1e9, 0.0)
+    assert not warmup.is_cold(MAX_REPORTED_COLD_S)
+    warmup.record_report(-5.0, 0.0)
     assert not warmup.is_cold(0.0)
 
 
@@ -170,7 +174,9 @@
 def make_routers(document: Document, count: int) -> list[Router]:
     routers = []
     for seed in range(count):
-        router = Router(document, ZoneName("a"), seed, count=RouterCount(count, 0.0))
+        router = Router(
+            document, ZoneName("a"), seed, router_count=RouterCount(count, 0.0)
+        )
         router.update_backends([server("warm")], 0.0)
         routers.append(router)
     return routers
@@ -179,14 +185,15 @@
 def starts_on(
     routers: list[Router], name: str, begin: float, seconds: float, per_s: float
 ) -> list[float]:
-    """Let each router take `per_s` requests a second; return when some went to `name`."""
-    draw = random.Random(1)
+    """Give each router `per_s` requests a second; return when some were sent to
+    `name`."""
+    rng = random.Random(1)
     number, starts = 0, []
     for step in range(int(seconds / STEP_S)):
         now = begin + step * STEP_S
         for router in routers:
             actions = router.tick(now)
-            if draw.random() < per_s * STEP_S:
+            if rng.random() < per_s * STEP_S:
                 number += 1
                 actions += router.submit(request(number, now), now)
             for action in actions:
@@ -195,10 +202,10 @@
     return starts
 
 
-def test_new_empty_server_is_not_sent_everything_in_its_first_seconds(
+def test_new_server_is_not_overloaded_in_its_first_seconds(
     document: Document,
 ) -> None:
-    """Hundreds of routers learn of one new server in the same half second."""
+    """Hundreds of routers learn of one new server within the same half second."""
     routers = make_routers(document, 200)
     for router in routers:
         router.update_backends([server("warm"), server("new", cold_s=3.0)], 1.0)
@@ -207,8 +214,8 @@
     assert busiest_second(starts) <= LIMIT.most
 
 
-def test_zone_that_is_given_back_is_taken_for_cold(document: Document) -> None:
-    """Its servers' own rows tell later that they are cold than the operators' row goes."""
+def test_servers_count_as_cold_after_their_zones_evacuation(document: Document) -> None:
+    """Their own rows report that they are cold after the operators' row is removed."""
     routers = make_routers(document, 200)
     away = server("back", evacuated=True)
     for router in routers:
@@ -222,19 +229,20 @@
     assert len(later) > 100
 
 
-def test_server_that_took_no_connection_is_probed_by_few_at_a_time(
+def test_server_that_refused_a_connection_is_probed_within_its_limit(
     document: Document,
 ) -> None:
-    """It crashed, each router saw so, and it is back under its id with no word of it."""
+    """The server crashed, each router noticed, and it restarts under its id
+    unannounced."""
     routers = make_routers(document, 200)
     for router in routers:
         router.update_backends([server("warm"), server("crashed")], 0.5)
-        router.backends.unreachable(BackendId("crashed"), 0.5)
-    starts = starts_on(routers, "crashed", 0.5, RESTART_NEWS_S, per_s=2.0)
+        router.backends.record_unreachable(BackendId("crashed"), 0.5)
+    starts = starts_on(routers, "crashed", 0.5, RESTART_DETECTION_S, per_s=2.0)
     assert busiest_second(starts) <= LIMIT.most
 
 
-def test_router_that_does_not_know_of_the_others_waits_for_a_warm_server(
+def test_router_without_a_count_sends_nothing_to_a_cold_server(
     document: Document,
 ) -> None:
     router = Router(document, ZoneName("a"))
@@ -242,7 +250,7 @@
     assert not starts_on([router], "cold", 0.0, 0.9, per_s=10.0)
 
 
-def test_server_whose_pool_names_no_bound_is_used_at_once(document: Document) -> None:
+def test_server_of_a_pool_without_a_limit_is_used_at_once(document: Document) -> None:
     router = Router(
         parse_document(
             {
@@ -258,8 +266,9 @@
     assert isinstance(start, Start)
 
 
-def test_retry_waits_for_a_turn_as_well(document: Document) -> None:
-    """The one warm server fails, and all that failed there goes to the cold one."""
+def test_retry_on_a_cold_server_waits_for_a_turn(document: Document) -> None:
+    """The one warm server fails, and all requests that failed there go to the cold
+    one."""
     routers = make_routers(document, 200)
     starts: list[float] = []
     for number, router in enumerate(routers):
