--- a/src/godwitmast/backends/__init__.py
+++ b/src/godwitmast/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Backend servers: which there are, what they report, and HTTP to them."""
+"""HTTP client for backend servers, and the load that they report."""
--- a/src/godwitmast/backends/client.py
+++ b/src/godwitmast/backends/client.py
@@ -1,4 +1,4 @@
-"""HTTP to backend servers, with every failure named."""
+"""An HTTP client for backend servers that classifies every failure."""
 
 import ssl
 from collections.abc import AsyncIterator, Iterable
@@ -10,9 +10,9 @@
 from godwitmast.dispatch.messages import FailureKind, LoadReport
 
 CONNECT_TIMEOUT_S = 0.3
-"""A backend server in reach accepts within milliseconds, from another region within a
-tenth of a second; one behind a cut never. The rest of a quick class's target is for
-another server."""
+"""A reachable backend server accepts within milliseconds, one in another region within
+a tenth of a second, and one behind a network partition never. The rest of an
+interactive class's target is for another server."""
 
 READ_TIMEOUT_S = 120.0
 SocketOptions: TypeAlias = Iterable[tuple[int, int, int]]
@@ -21,7 +21,7 @@
 
 
 class AttemptFailed(Exception):
-    """An attempt ended without its whole answer."""
+    """An attempt ended without a complete answer."""
 
     def __init__(self, kind: FailureKind, detail: str) -> None:
         super().__init__(f"{kind.value}: {detail}")
@@ -30,17 +30,18 @@
 
 
 class BackendWire(Protocol):
-    """What backend servers say of themselves in the head of an answer."""
+    """Reads what backend servers report in response headers."""
 
     def said_not_run(self, answer: httpx.Response) -> bool:
-        """Return whether the server did not run the request, and never will."""
+        """Return whether the server reported that it did not run the request, and will
+        not."""
 
     def read_load(self, answer: httpx.Response) -> LoadReport | None:
-        """Return the load that the server told, if it did."""
+        """Return the load report of the response, if it has one."""
 
 
 class EngineWire:
-    """The heads of this project's own backend server interface."""
+    """The response headers of this project's own backend server interface."""
 
     def said_not_run(self, answer: httpx.Response) -> bool:
         return NOT_RUN_HEADER in answer.headers
@@ -50,7 +51,7 @@
 
 
 class BackendClient:
-    """Connections to backend servers, kept open between requests."""
+    """An HTTP connection pool for backend servers."""
 
     def __init__(
         self,
@@ -85,11 +86,12 @@
         headers: list[tuple[str, str]],
         content: bytes,
     ) -> AsyncIterator[httpx.Response]:
-        """Send a request and give the answer's head, or raise AttemptFailed.
+        """Send a request and yield the response once its headers have arrived.
 
-        Only the headers given are sent, beside those of the connection, and the target
-        goes out as it is: a URL of the library's would resolve its dots and quote its
-        characters, and the server would run another request than the caller's.
+        Raise AttemptFailed on any failure. Only the given headers are sent, besides
+        those of the connection, and the target is sent unchanged: the library's URL
+        class would resolve its dot segments and quote its characters, so that the
+        server would run another request than the caller's.
         """
         base = httpx.URL(server).raw_path.rstrip(b"/")
         request = httpx.Request(
@@ -115,9 +117,9 @@
             raise AttemptFailed(failure_kind(error), repr(error)) from None
 
     async def get_json(self, url: str, timeout_s: float) -> dict[str, object] | None:
-        """Return what a backend server says at `url`, or None."""
+        """Return the JSON document that a backend server serves at `url`, or None."""
         if self.http.is_closed:
-            # A poll that comes due while its entry closes is no error.
+            # A poll may come due while its entry closes, which is no error.
             return None
         try:
             answer = await self.http.get(url, timeout=timeout_s)
@@ -127,11 +129,11 @@
 
 
 def read_load(answer: httpx.Response) -> LoadReport | None:
-    """Return the load that a server told with its answer: `Engine-Load: 3;1`.
+    """Return the load report of the header `Engine-Load: 3;1`, if there is one.
 
-    That is how many requests it runs and how many wait inside it, just now. Load that
-    rides on answers costs no request of its own, and is newest where it matters most:
-    on the servers that get the work.
+    The numbers are the requests that the server runs and those that wait inside it,
+    just now. Load that is sent with answers costs no request of its own, and is newest
+    where it matters most: on the servers that get the requests.
     """
     running, _, waiting = answer.headers.get(LOAD_HEADER, "").partition(";")
     if not (running.isdecimal() and waiting.isdecimal()):
@@ -140,7 +142,7 @@
 
 
 def failure_kind(error: httpx.HTTPError) -> FailureKind:
-    """Return how an exchange failed, and so whether any of it may have run."""
+    """Return how an exchange failed, which tells whether the request may have run."""
     match error:
         case httpx.ConnectError() | httpx.ConnectTimeout() | httpx.PoolTimeout():
             return FailureKind.CONNECT
