--- a/src/godwitmast/dispatch/limits.py
+++ b/src/godwitmast/dispatch/limits.py
@@ -39,7 +39,8 @@
 """Share of the target that is aimed at, since requests vary around their mean."""
 
 RISE_SHARE = 0.95
-"""Below this share of the aim the limit rises; between the two it does not change."""
+"""Below this share of the aim the limit rises; between that and the aim it does not
+change."""
 
 MIN_CUT_FACTOR = 0.7
 DECAY_FACTOR = 0.9
@@ -75,7 +76,9 @@
 
     value: float = START_LIMIT
     idle_pace_s: float | None = None
+    """Mean inter-token gap, or latency, of the idle server."""
     had_waiting: bool = False
+    """Whether many requests waited inside the engine at its last report."""
     fixed: bool = False
     """The server reported how many requests it runs at a time, so that nothing is
     learned."""
--- a/src/godwitmast/dispatch/router.py
+++ b/src/godwitmast/dispatch/router.py
@@ -504,7 +504,7 @@
 
     def cancel_preempted(self, victim: ActiveRequest, now: float) -> Cancel:
         """Cancel the attempt of a request that admission has queued again."""
-        assert victim.may_move, "only what runs and may run again is interrupted"
+        assert victim.may_move, "only what runs and may run again is preempted"
         assert victim.attempt_id is not None
         victim.may_have_run = True
         request_id, attempt_id = victim.request.request_id, victim.attempt_id
@@ -523,8 +523,12 @@
         backend_id = self.backends.sample_ignoring_room(pool, now)
         if backend_id is None:
             return None
-        waits = self.overcommitted.get(backend_id)
-        if waits and waits.backend_id == backend_id and waits.first_token_at is None:
+        earlier = self.overcommitted.get(backend_id)
+        if (
+            earlier
+            and earlier.backend_id == backend_id
+            and earlier.first_token_at is None
+        ):
             return None
         return backend_id
 
@@ -584,7 +588,8 @@
             return self.choose_for_suspect(active, now)
         highest = min(item.tier for item in self.document.classes.values())
         # Behind a network partition every server of a zone is due for a probe, and each
-        # probe takes a connect time-out: a request that made several would be late.
+        # probe takes a connect time-out, so that a request makes one at most: with several
+        # it would be late by all of them.
         may_probe = (
             request.idempotent
             and active.request_class.tier > highest
