--- a/src/godwitmast/dispatch/flights.py
+++ b/src/godwitmast/dispatch/flights.py
@@ -12,7 +12,7 @@
 class ActiveRequest:
     """An admitted request that has not ended.
 
-    `tokens` counts those that its caller has; the times are of the current attempt.
+    `tokens` are those that its caller has; the times are of the present attempt.
     """
 
     request: RequestSpec
@@ -24,17 +24,17 @@
     tokens: int = 0
     may_have_run: bool = False
     run_count: int = 0
-    """Servers that may have run it, including the current one."""
+    """Servers that may have run it, the present one among them."""
     avoid: set[BackendId] = field(default_factory=set)
     started_at: float = 0.0
     first_token_at: float | None = None
     last_token_at: float = 0.0
     pending_tokens: float = 0.0
-    """Prompt tokens that the current server has still to prefill."""
+    """Tokens of the prompt that the present server has still to prefill."""
 
     @property
     def may_move(self) -> bool:
-        """Return whether the attempt may be cancelled and run again elsewhere.
+        """Return whether the attempt may be ended and run again elsewhere.
 
         A non-idempotent request may not: it may have been sent, and may have run.
         """
