--- a/src/godwitmast/entry/app.py
+++ b/src/godwitmast/entry/app.py
@@ -1,4 +1,4 @@
-"""The entry's HTTP application, whatever interface its callers speak."""
+"""The entry's ASGI application, independent of the API that its callers use."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -37,7 +37,7 @@
 
 
 class EntryApp:
-    """Takes callers' requests, from the key check to the metering."""
+    """Serves callers' requests, from authentication to metering."""
 
     def __init__(
         self,
@@ -58,15 +58,15 @@
         self.stopping = False
         self.withdrawn: dict[str, int] = {}
         self.fault_hook: Callable[[frozenset[str]], None] | None = None
-        self.peers_listed: Callable[[], list[str]] = list
+        self.list_peers: Callable[[], list[str]] = list
         self.exchanges: dict[RequestId, Exchange] = {}
         self.ready_checks: list[Callable[[], bool]] = []
         self.cut_off_s: Callable[[], float] = lambda: 0.0
         self.ends_withdrawn = True
-        """Whether an open stream ends once its key is withdrawn."""
+        """Whether an open stream is ended when its key is withdrawn."""
 
     def config_changed(self, config: NumberedConfig) -> None:
-        """Take a configuration, and end the streams of keys that it withdraws."""
+        """Apply a configuration, and end the streams of keys that it withdraws."""
         self.config = config
         self.front.config_changed(config)
         self.metrics.config_changed(config)
@@ -76,14 +76,14 @@
             for key_hash, version in self.withdrawn.items()
             if version > config.version
         }
-        self.end_withdrawn()
+        self.end_withdrawn_streams()
 
     def withdraw_key(self, key_hash: str, version: int) -> None:
-        """Refuse a key that configuration `version` withdraws, before it is here.
+        """Refuse a key that configuration `version` withdraws, until that one arrives.
 
-        A peer may have it much earlier than a node that lags and needs the whole of
-        it. Numbers only rise, so nothing that comes later can make this wrong, but
-        the configuration that is in force by then has the last word.
+        A peer may have the configuration much earlier than a node that lags and needs a
+        full snapshot. Version numbers only rise, so a late message can't undo a newer
+        configuration; once `version` is in force here, it alone decides.
         """
         if self.config is None or version <= self.config.version:
             return
@@ -92,8 +92,8 @@
             if exchange.caller and exchange.caller.key_hash == key_hash:
                 exchange.abort(CancelReason.KEY_WITHDRAWN)
 
-    def end_withdrawn(self) -> None:
-        """End the streams of keys that are withdrawn, expired or past their grace."""
+    def end_withdrawn_streams(self) -> None:
+        """End streams whose key is withdrawn, expired or past the offline grace."""
         if not self.ends_withdrawn:
             return
         wall, cut_off_s = self.clock.wall(), self.cut_off_s()
@@ -145,18 +145,18 @@
             "ready": self.ready,
             "stopping": self.stopping,
             "config": self.config.version if self.config else None,
-            "peers": self.peers_listed(),
+            "peers": self.list_peers(),
         }
 
     async def take(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve a caller, or tell it what is wrong with its request."""
+        """Serve a request, or answer it with the error that it caused."""
         try:
             error = await self.serve(scope, receive, send)
         except CallerGone:
             raise
-        except Exception as fault:
-            # The server would answer 500 and say nothing of what went wrong here.
-            log_event("request_broke", level="ERROR", error=repr(fault))
+        except Exception as exception:
+            # The HTTP server answers 500 but does not log the exception.
+            log_event("request_broke", level="ERROR", error=repr(exception))
             raise
         if error is not None:
             await self.front.send_error(send, error, False)
@@ -164,9 +164,9 @@
     async def serve(
         self, scope: Scope, receive: Receive, send: Send
     ) -> ErrorAnswer | None:
-        """Serve a caller, or return the error to answer with.
+        """Serve a request, or return the error to answer with.
 
-        The body is read before any error is given: see `read_body`.
+        The body is read before any error is returned; see `read_body`.
         """
         arrived = self.clock.now()
         body = await read_body(receive, self.front.limits())
@@ -210,7 +210,7 @@
         return exchange
 
     async def run(self, exchange: Exchange) -> None:
-        """Run an exchange, then meter it and count how it ended."""
+        """Run an exchange, then meter it and record its outcome."""
         spec = exchange.spec
         self.exchanges[spec.request_id] = exchange
         self.demand.arrived(demand_key(spec), spec.prompt_tokens)
@@ -220,18 +220,18 @@
         finally:
             del self.exchanges[exchange.spec.request_id]
             self.metrics.open_requests.dec()
-            self.account(exchange)
+            self.record_outcome(exchange)
 
-    def waiting(self) -> dict[DemandKey, int]:
-        """Return how many requests wait for a backend server."""
+    def count_waiting(self) -> dict[DemandKey, int]:
+        """Return the number of requests that wait for a backend server, by demand key."""
         return Counter(
             demand_key(exchange.spec)
             for exchange in self.exchanges.values()
             if not exchange.reached_backend
         )
 
-    def account(self, exchange: Exchange) -> None:
-        """Meter what reached a backend server, and count and log the outcome."""
+    def record_outcome(self, exchange: Exchange) -> None:
+        """Meter a request that reached a backend server; count and log its outcome."""
         spec = exchange.spec
         first_s, total_s, tokens = exchange.timing
         gap_s, gap_ended_at = exchange.token_times.longest_gap
@@ -254,7 +254,7 @@
             config=self.config.version if self.config else None,
         )
         for kind, tokens in exchange.tokens_by_kind.items():
-            self.metrics.came_from(kind, tokens)
+            self.metrics.count_server_tokens(kind, tokens)
         if exchange.reached_backend:
             exchange.record_backend_start()
             self.meter.add(usage_key(spec), exchange.billed_tokens)
@@ -275,10 +275,10 @@
 
 
 async def send_metrics(send: Send, registry: CollectorRegistry) -> None:
-    """Send a page of metrics, written in a thread.
+    """Send the metrics of a registry, which are formatted in a thread.
 
-    With thousands of teams writing it takes most of a second. On the event loop every
-    stream of the entry stood still for that long at each scrape.
+    With thousands of teams that takes most of a second. On the event loop it would
+    stall every stream of the entry for that long at each scrape.
     """
     headers = [(b"content-type", CONTENT_TYPE_LATEST.encode())]
     body = await to_thread.run_sync(generate_latest, registry)
@@ -294,10 +294,10 @@
 
 
 def closing(send: Send) -> Send:
-    """Return a `send` whose answer tells the caller that its connection ends.
+    """Return a `send` that adds `Connection: close` to the answer.
 
-    A caller that keeps its connection would else send its next request just when the
-    entry closes it, and lose it.
+    Otherwise a caller that reuses its connection could send its next request while the
+    entry closes it, and lose that request.
     """
 
     async def send_and_close(message: dict[str, Any]) -> None:
--- a/src/godwitmast/entry/claim_answers.py
+++ b/src/godwitmast/entry/claim_answers.py
@@ -1,4 +1,4 @@
-"""What callers are told of a call that may run at most once."""
+"""Errors for a call that may run at most once and that its claim keeps from running."""
 
 from godwitmast.claims.machine import (
     InDoubt,
@@ -11,11 +11,12 @@
 from godwitmast.dispatch.messages import NotRun
 from godwitmast.entry.refusals import ErrorAnswer
 
-RETRY_S = 2.0
-MAY_END_S = 600.0
-"""For how long a call without an answer is taken to be perhaps still running.
+RETRY_AFTER_S = 2.0
+MAX_RUN_S = 600.0
+"""How long a call without a stored answer counts as possibly still running.
 
-It only decides whether the caller is told to come back, never whether it runs again.
+This only decides whether the caller gets a retry-after, never whether the call runs
+again.
 """
 
 OUTCOME_UNKNOWN = ErrorAnswer(
@@ -26,7 +27,7 @@
 )
 STILL_RUNNING = OUTCOME_UNKNOWN._replace(
     message="A call with this key was begun and may still end. It is never run again.",
-    retry_after_s=RETRY_S,
+    retry_after_s=RETRY_AFTER_S,
 )
 ANSWER_NOT_KEPT = ErrorAnswer(
     409,
@@ -37,27 +38,27 @@
 OTHER_BODY = ErrorAnswer(
     409,
     "idempotency_conflict",
-    "This idempotency key came with another request before. This one was not run.",
+    "This idempotency key was used for a different request. This one was not run.",
 )
-NO_TABLE = ErrorAnswer(
+NOT_CLAIMED = ErrorAnswer(
     503,
     "claim_unavailable",
     "This call was not run: it could not be claimed. Send it with the same key again.",
     NotRun.TRUE,
-    RETRY_S,
+    RETRY_AFTER_S,
 )
 
 
 def answer_claim(outcome: LookOutcome | TakeOutcome, wall: float) -> ErrorAnswer:
-    """Return the error for a call that its claim keeps from running."""
+    """Return the error for a call that may not run because of its claim."""
     match outcome:
         case OtherBody():
             return OTHER_BODY
         case InDoubt(may_end, at):
-            running = may_end and wall - at < MAY_END_S
+            running = may_end and wall - at < MAX_RUN_S
             return STILL_RUNNING if running else OUTCOME_UNKNOWN
         case Stored():
             return ANSWER_NOT_KEPT
         case NoTable():
-            return NO_TABLE
+            return NOT_CLAIMED
     raise AssertionError(f"{outcome} does not keep a call from running")
--- a/src/godwitmast/entry/cli.py
+++ b/src/godwitmast/entry/cli.py
@@ -21,7 +21,7 @@
     check: CheckOption = False,
     version: VersionOption = False,
 ) -> None:
-    """Serve callers on an entry VM until SIGTERM, then finish what runs.
+    """Serve callers on an entry VM until SIGTERM, then finish open requests.
 
     Exit codes: 0 stopped or settings valid, 1 failed, 2 settings not valid.
     """
--- a/src/godwitmast/entry/daemon.py
+++ b/src/godwitmast/entry/daemon.py
@@ -1,4 +1,4 @@
-"""The entry as a whole: what it is made of, and its start and close."""
+"""The entry daemon: its parts, and how they are started and closed."""
 
 import anyio
 from anyio.abc import TaskGroup
@@ -21,11 +21,11 @@
 from godwitmast.usage.meter import Meter
 from godwitmast.usage.writer import NodeWriter
 
-KEY_CHECK_S = 1.0
+KEY_CHECK_INTERVAL_S = 1.0
 
 
 class Entry:
-    """One entry; several can live in one process."""
+    """One entry; a process can contain several."""
 
     def __init__(self, settings: EntrySettings) -> None:
         self.settings = settings
@@ -68,7 +68,7 @@
             self.platform,
             settings.node,
             self.app.demand,
-            self.app.waiting,
+            self.app.count_waiting,
             self.driver.fleet_changed,
         )
         self.follower.watch(FLEET_HEAD_KEY, self.fleet.head_seen)
@@ -77,7 +77,7 @@
         )
 
     async def start(self, tasks: TaskGroup) -> None:
-        """Listen, and follow the configuration; not ready before there is one."""
+        """Listen and follow the configuration; the entry is ready once it has one."""
         await self.driver.start(tasks)
         if self.peering:
             await self.peering.start(tasks)
@@ -90,20 +90,20 @@
         log_event("entry_started", node=self.settings.node, url=self.server.url)
 
     async def run_key_checks(self) -> None:
-        """End streams whose keys expire, or whose team allows no more time cut off."""
+        """End streams whose key expires or whose team's offline grace is exceeded."""
         self.app.cut_off_s = self.follower.cut_off_s
         while True:
-            await anyio.sleep(KEY_CHECK_S)
-            if self.peering and self.peering.reaches_other_zones():
+            await anyio.sleep(KEY_CHECK_INTERVAL_S)
+            if self.peering and self.peering.is_linked_to_other_zone():
                 self.follower.heard()
             if self.follower.current:
-                self.app.end_withdrawn()
+                self.app.end_withdrawn_streams()
 
     async def close(self) -> None:
-        """Stop without cutting a request.
+        """Stop without cutting off a request.
 
-        The balancer goes on sending for a while after it saw that this entry is not
-        ready, so new requests are still taken during that wait.
+        The load balancer still sends requests for a while after this entry has become
+        unready, so new requests are accepted for `balancer_wait_s`.
         """
         log_event("entry_stopping", node=self.settings.node)
         self.app.stopping = True
--- a/src/godwitmast/entry/events.py
+++ b/src/godwitmast/entry/events.py
@@ -1,4 +1,4 @@
-"""Reads a copy of an answer's server-sent events, for metering and resuming."""
+"""Readers of server-sent events, which meter an answer and let an attempt resume it."""
 
 from typing import Any
 
@@ -7,26 +7,26 @@
 from godwitmast.types import TokenCount
 
 EVENT_END = b"\n\n"
-DATA = b"data:"
-EVENT_ID = b"id:"
-DONE = b"[DONE]"
+DATA_PREFIX = b"data:"
+ID_PREFIX = b"id:"
+DONE_DATA = b"[DONE]"
 
 
 class Delta(msgspec.Struct):
-    """The part of a choice's delta that counts as output."""
+    """A choice's delta; `content` counts as output."""
 
     content: str | None = None
 
 
 class Choice(msgspec.Struct):
-    """A choice of a chunk, from either kind of completion."""
+    """A choice of a chunk, of a chat completion or a text completion."""
 
     delta: Delta | None = None
     text: str | None = None
 
 
 class Usage(msgspec.Struct):
-    """The engine's own count."""
+    """Token counts reported by the engine."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
@@ -39,111 +39,111 @@
     usage: Usage | None = None
 
 
-CHUNKS = msgspec.json.Decoder(Chunk)
+CHUNK_DECODER = msgspec.json.Decoder(Chunk)
 
 
 def split_events(joined: bytes) -> tuple[bytes, bytes]:
-    """Return the whole events at the start of some bytes, and the rest."""
+    """Return the complete events at the start of `joined`, and the rest."""
     cut = joined.rfind(EVENT_END)
     end = cut + len(EVENT_END) if cut >= 0 else 0
     return joined[:end], joined[end:]
 
 
-class EventReader:
-    """Splits a stream into whole events, and counts what it gives the caller.
+class CompletionReader:
+    """Splits a completion's stream into events, and collects the tokens in them.
 
-    Chunks of a response can split or join events. Only whole events are passed on:
-    when a stream is cut inside one and another server resumes it, the caller must
-    not find half an event before the next.
+    Chunks of a response can split or join events. Only complete events are forwarded:
+    when a stream breaks off inside an event and another server resumes it, the caller
+    must not receive half an event before the next one.
     """
 
     def __init__(self) -> None:
-        self.tail = b""
-        self.texts: list[str] = []
+        self.partial_event = b""
+        self.token_texts: list[str] = []
         self.usage: TokenCount | None = None
         self.done = False
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes off the wire; return the whole events that they complete."""
-        whole, self.tail = split_events(self.tail + data)
+        """Add received bytes; return the events that they complete."""
+        whole, self.partial_event = split_events(self.partial_event + data)
         for event in whole.split(EVENT_END):
             self.read_event(event)
         return whole
 
     def read_event(self, event: bytes) -> None:
-        if not event.startswith(DATA):
+        if not event.startswith(DATA_PREFIX):
             return
-        data = event[len(DATA) :].strip()
-        if data == DONE:
+        data = event[len(DATA_PREFIX) :].strip()
+        if data == DONE_DATA:
             self.done = True
             return
         try:
-            chunk = CHUNKS.decode(data)
+            chunk = CHUNK_DECODER.decode(data)
         except msgspec.DecodeError:
             return
         for choice in chunk.choices:
             text = choice.delta.content if choice.delta else choice.text
             if text:
-                self.texts.append(text)
+                self.token_texts.append(text)
         if chunk.usage:
             self.usage = token_count(chunk.usage)
 
     @property
     def given(self) -> int:
-        """Return how many tokens were given to the caller."""
-        return len(self.texts)
+        """Return the number of tokens sent to the caller."""
+        return len(self.token_texts)
 
     def end(self) -> bytes:
-        """Return nothing: these streams say by a last event that they are whole."""
+        """Return no bytes: `done` depends on the last event of such a stream."""
         return b""
 
     def restart(self) -> None:
-        """Drop half an event, before another attempt goes on with the stream."""
-        self.tail = b""
+        """Drop an incomplete event, before another attempt resumes the stream."""
+        self.partial_event = b""
 
 
 class NumberedReader:
-    """Splits a stream into whole events, and knows the last one's id.
+    """Splits a stream into events, and keeps the id of the last one.
 
-    Such a stream has no last event of its own: it is whole when the answer's framing
-    says so.
+    Such a stream has no closing event: it is complete when the answer's HTTP framing
+    ends.
     """
 
     def __init__(self) -> None:
-        self.tail = b""
+        self.partial_event = b""
         self.given = 0
         self.last_id: str | None = None
         self.usage: TokenCount | None = None
         self.done = False
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes off the wire; return the whole events that they complete."""
-        whole, self.tail = split_events(self.tail + data)
+        """Add received bytes; return the events that they complete."""
+        whole, self.partial_event = split_events(self.partial_event + data)
         self.given += whole.count(EVENT_END)
         for line in whole.splitlines():
-            if line.startswith(EVENT_ID):
-                self.last_id = line[len(EVENT_ID) :].strip().decode("latin-1")
+            if line.startswith(ID_PREFIX):
+                self.last_id = line[len(ID_PREFIX) :].strip().decode("latin-1")
         return whole
 
     def end(self) -> bytes:
-        """Return what is left after the last whole event; the stream is whole."""
+        """Mark the stream as complete; return the bytes after its last event."""
         self.done = True
-        rest, self.tail = self.tail, b""
+        rest, self.partial_event = self.partial_event, b""
         return rest
 
     def restart(self) -> None:
-        """Drop half an event, before another attempt goes on with the stream."""
-        self.tail = b""
+        """Drop an incomplete event, before another attempt resumes the stream."""
+        self.partial_event = b""
 
 
 def token_count(usage: Usage) -> TokenCount:
     return TokenCount(usage.prompt_tokens, usage.completion_tokens)
 
 
-def usage_of_answer(body: bytes) -> TokenCount | None:
-    """Return the engine's count in a whole answer, if it gave one."""
+def read_usage(body: bytes) -> TokenCount | None:
+    """Return the usage in the body of a whole answer, or None."""
     try:
-        chunk: Any = CHUNKS.decode(body)
+        chunk: Any = CHUNK_DECODER.decode(body)
     except msgspec.DecodeError:
         return None
     return token_count(chunk.usage) if chunk.usage else None
--- a/src/godwitmast/entry/exchange.py
+++ b/src/godwitmast/entry/exchange.py
@@ -40,7 +40,7 @@
 from godwitmast.entry.front import Front
 from godwitmast.entry.metrics import Timing, TokenTimes
 from godwitmast.entry.outbound import (
-    EVENT_STREAM,
+    EVENT_STREAM_HEADERS,
     ErrorPolicy,
     Outbound,
     StreamReader,
@@ -392,7 +392,9 @@
         await self.send_head(answer)
         self.answered = True
         if self.claimed is not None:
-            head = [(name.decode(), value.decode()) for name, value in EVENT_STREAM]
+            head = [
+                (name.decode(), value.decode()) for name, value in EVENT_STREAM_HEADERS
+            ]
             await self.settle_claim(Answer(200, head, b"".join(self.streamed_events)))
         await self.send({"type": "http.response.body", "body": rest})
 
@@ -439,7 +441,7 @@
         """Record tokens that were forwarded."""
         if not count:
             return
-        self.token_times.token_came(self.driver.clock.now())
+        self.token_times.record_tokens(self.driver.clock.now())
         self.tokens_by_kind[self.driver.backend_kind(start.backend_id)] += count
         self.driver.tokens_came(self.spec.request_id, start.attempt_id, count)
 
--- a/src/godwitmast/entry/front.py
+++ b/src/godwitmast/entry/front.py
@@ -1,4 +1,8 @@
-"""The callers' interface: what a request is, and how each outcome is answered."""
+"""The interface between the entry and one caller-facing API.
+
+An implementation parses and authenticates requests, turns them into requests to backend
+servers, and formats refusals and errors.
+"""
 
 from typing import NamedTuple, Protocol
 
@@ -13,7 +17,7 @@
 
 
 class Incoming(NamedTuple):
-    """A request whose head, key and body were read; a public one has no caller."""
+    """A request whose head and body were read; `caller` is None on a public route."""
 
     envelope: Envelope
     caller: Caller | None
@@ -22,7 +26,7 @@
 
 
 class Prepared(NamedTuple):
-    """A request that is to go to a backend server."""
+    """A request to send to a backend server."""
 
     spec: RequestSpec
     outbound: Outbound
@@ -31,34 +35,34 @@
 
 
 class Reply(NamedTuple):
-    """A request that the entry answers itself."""
+    """The entry's own answer to a request; no backend server is involved."""
 
     status: int
     body: object
 
 
 class Front(Protocol):
-    """One interface to callers; the entry's own, or that of a platform."""
+    """One caller-facing API: the entry's own, or that of a platform."""
 
     def config_changed(self, config: NumberedConfig) -> None:
-        """Take the configuration that is now in force."""
+        """Apply the configuration that is now in force."""
 
     def limits(self) -> Limits:
-        """Return what is taken of one caller now."""
+        """Return the current limits on a request."""
 
     def open(self, scope: Scope) -> Envelope | ErrorAnswer:
-        """Return the head of a request, or why it is not one."""
+        """Return the head of a request, or the error to answer with."""
 
     def identify(
         self, envelope: Envelope, cut_off_s: float
     ) -> Caller | ErrorAnswer | None:
-        """Return who calls; None where no key is asked for."""
+        """Return the caller, or None where no key is required."""
 
     def prepare(self, incoming: Incoming) -> Prepared | Reply | ErrorAnswer:
-        """Return what is to be done with a request."""
+        """Return the request for a backend server, a reply, or an error."""
 
     def answer_refusal(self, refusal: Refuse) -> ErrorAnswer:
-        """Return what the caller is told of the router's refusal."""
+        """Return the error answer for a refusal by the router."""
 
     async def send_error(self, send: Send, answer: ErrorAnswer, began: bool) -> None:
-        """Send an error; `began` says that a stream's head is out already."""
+        """Send an error; `began`: whether the head of a stream was already sent."""
--- a/src/godwitmast/entry/metrics.py
+++ b/src/godwitmast/entry/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of an entry, in a registry of its own."""
+"""Metrics of an entry, in registries of its own."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -13,19 +13,19 @@
 
 from godwitmast.config.document import NumberedConfig, RequestClass
 
-# A second series for each counter, with its birth, would double the pages by team.
+# A series with the creation time of each counter would double the page of team metrics.
 disable_created_metrics()
 
-LATENCY_BUCKETS = (0.05, 0.1, 0.25, 0.5, 1.0, 1.2, 2.0, 5.0, 10.0, 30.0, 60.0, 300.0)
-TOKEN_BUCKETS = (0.005, 0.01, 0.015, 0.02, 0.028, 0.04, 0.06, 0.1, 0.25, 1.0)
+LATENCY_BUCKETS_S = (0.05, 0.1, 0.25, 0.5, 1.0, 1.2, 2.0, 5.0, 10.0, 30.0, 60.0, 300.0)
+TOKEN_GAP_BUCKETS_S = (0.005, 0.01, 0.015, 0.02, 0.028, 0.04, 0.06, 0.1, 0.25, 1.0)
 
 CALLERS_DOING = frozenset({"team_limit", "caller_gone", "key_withdrawn"})
-"""Outcomes that spend no error budget: the team's own limit, a caller that hung up,
-and a key that its operator withdrew."""
+"""Outcomes that spend no error budget: the team's own limit, a caller that
+disconnected, and a key that its operator withdrew."""
 
 
 class Gap(NamedTuple):
-    """A time without tokens in the middle of an answer."""
+    """An inter-token gap; `ended_at` is on the entry's clock."""
 
     seconds: float = 0.0
     ended_at: float | None = None
@@ -33,14 +33,14 @@
 
 @dataclass(slots=True)
 class TokenTimes:
-    """When the tokens of an answer came, on the entry's clock."""
+    """Times at which the tokens of an answer arrived, on the entry's clock."""
 
     first_at: float | None = None
     last_at: float = 0.0
     longest_gap: Gap = Gap()
 
-    def token_came(self, now: float) -> None:
-        """Note one or more tokens that came together."""
+    def record_tokens(self, now: float) -> None:
+        """Record one or more tokens that arrived together."""
         if self.first_at is None:
             self.first_at = now
         elif now - self.last_at > self.longest_gap.seconds:
@@ -49,7 +49,7 @@
 
 
 class Timing(NamedTuple):
-    """When the parts of an answer came, in seconds after the request's arrival."""
+    """Seconds from a request's arrival to its first and last token, and its tokens."""
 
     first_token_s: float | None
     last_token_s: float
@@ -57,14 +57,14 @@
 
     @property
     def between_tokens_s(self) -> float | None:
-        """Return the mean time between tokens, if there was more than one."""
+        """Return the mean inter-token time, or None with fewer than two tokens."""
         if self.first_token_s is None or self.tokens < 2:
             return None
         return (self.last_token_s - self.first_token_s) / (self.tokens - 1)
 
 
 def meets_targets(target: RequestClass, timing: Timing) -> bool:
-    """Return whether an answer came within every target that its class names."""
+    """Return whether an answer met every latency target of its class."""
     pairs = (
         (target.first_token_s, timing.first_token_s),
         (target.between_tokens_s, timing.between_tokens_s),
@@ -74,11 +74,11 @@
 
 
 class EntryMetrics:
-    """What an entry counts; `outcome` is `met`, `late`, or an error code.
+    """An entry's metrics; `outcome` is `met`, `late`, or an error code.
 
-    Counters by team stand in a registry of their own, which is served apart. With
-    thousands of teams they are megabytes a scrape; in one page with the rest they
-    would make every scrape for an alert as large.
+    Counters by team are in a registry of their own, with its own page. With thousands
+    of teams that page has megabytes; on one page, every scrape for an alert would be
+    as large.
     """
 
     def __init__(self) -> None:
@@ -114,7 +114,7 @@
             ["class_name"],
             registry=self.registry,
         )
-        self.kind_tokens = Counter(
+        self.server_tokens = Counter(
             "godwit_server_tokens",
             "Tokens given to callers, by the kind of backend server they came from.",
             ["kind"],
@@ -124,14 +124,14 @@
             "godwit_first_token_seconds",
             "From a request's arrival to its first token.",
             ["class_name"],
-            buckets=LATENCY_BUCKETS,
+            buckets=LATENCY_BUCKETS_S,
             registry=self.registry,
         )
         self.between_tokens = Histogram(
             "godwit_between_tokens_seconds",
             "Mean time between the tokens of an answer.",
             ["class_name"],
-            buckets=TOKEN_BUCKETS,
+            buckets=TOKEN_GAP_BUCKETS_S,
             registry=self.registry,
         )
         self.goal = Gauge(
@@ -150,7 +150,7 @@
         )
 
     def config_changed(self, config: NumberedConfig) -> None:
-        """Show the configuration in force, and the goals of its classes."""
+        """Publish the configuration's version and the goals of its classes."""
         self.config_version.set(config.version)
         self.goal.clear()
         for name, item in config.document.classes.items():
@@ -172,13 +172,13 @@
             self.between_tokens.labels(class_name).observe(timing.between_tokens_s)
 
     def refused(self, team: str, class_name: str, code: str, tokens: int = 0) -> None:
-        """Count a request without a whole answer; `tokens` of it were given."""
+        """Count a request without a whole answer; `tokens` were sent to the caller."""
         self.requests.labels(class_name, code).inc()
         result = "own" if code in CALLERS_DOING else "missed"
         self.team_requests.labels(team, class_name, result).inc()
         if tokens:
             self.wasted_tokens.labels(class_name).inc(tokens)
 
-    def came_from(self, kind: str, tokens: int) -> None:
-        """Count tokens by the kind of backend server that made them."""
-        self.kind_tokens.labels(kind).inc(tokens)
+    def count_server_tokens(self, kind: str, tokens: int) -> None:
+        """Count tokens by the kind of backend server that generated them."""
+        self.server_tokens.labels(kind).inc(tokens)
--- a/src/godwitmast/entry/openai.py
+++ b/src/godwitmast/entry/openai.py
@@ -1,4 +1,4 @@
-"""The entry's own interface to callers: what OpenAI clients speak."""
+"""The entry's own API, which OpenAI clients can use."""
 
 import itertools
 from collections.abc import Iterable
@@ -32,12 +32,12 @@
 from godwitmast.types import ClassName, PoolName, RequestId, TeamName
 
 COMPLETION_PATHS = {"/v1/chat/completions": True, "/v1/completions": False}
-SERVICES = "/services/"
+SERVICES_PREFIX = "/services/"
 SAFE_METHODS = frozenset(["GET", "HEAD"])
 
 
 class OpenAiFront:
-    """Completions, models and plain services, for callers with a key."""
+    """Completions, the list of models, and plain services; every caller needs a key."""
 
     def __init__(
         self, node: str, limits: Limits, clock: Clock, claims: ClaimKeeper
@@ -47,10 +47,10 @@
         self.clock = clock
         self.claims = claims
         self.config: NumberedConfig | None = None
-        self.numbers = itertools.count(1)
+        self.request_numbers = itertools.count(1)
 
     def config_changed(self, config: NumberedConfig) -> None:
-        """Take the configuration that is now in force."""
+        """Apply the configuration that is now in force."""
         self.config = config
 
     @property
@@ -82,15 +82,17 @@
     def prepare(self, incoming: Incoming) -> Prepared | Reply | ErrorAnswer:
         path = incoming.envelope.path
         if path == "/v1/models":
-            return Reply(200, list_models(self.document, known(incoming.caller)))
+            return Reply(
+                200, list_models(self.document, require_caller(incoming.caller))
+            )
         if path in COMPLETION_PATHS:
             return self.prepare_model(incoming)
-        if path.startswith(SERVICES):
+        if path.startswith(SERVICES_PREFIX):
             return self.prepare_service(incoming)
         return ErrorAnswer(404, "not_found", f"There is nothing at {path}.")
 
     def prepare_model(self, incoming: Incoming) -> Prepared | ErrorAnswer:
-        envelope, caller = incoming.envelope, known(incoming.caller)
+        envelope, caller = incoming.envelope, require_caller(incoming.caller)
         if envelope.method != "POST":
             return ErrorAnswer(405, "method_not_allowed", "Completions take POST.")
         call = read_model_call(incoming.body, COMPLETION_PATHS[envelope.path])
@@ -115,12 +117,12 @@
             streams=call.stream,
         )
         outbound = self.model_outbound(envelope, call, spec, limit)
-        return self.claimed(incoming, spec, outbound)
+        return self.prepare_claimed(incoming, spec, outbound)
 
     def model_outbound(
         self, envelope: Envelope, call: ModelCall, spec: RequestSpec, limit: int
     ) -> ModelOutbound:
-        """Return what an engine is sent: the caller's body, with our priority."""
+        """Return the request to an engine: the caller's body with its class's priority."""
         priority = self.document.classes[spec.class_name].order_in_engines
         body = {**call.body, "priority": priority, "max_tokens": limit}
         body.pop("max_completion_tokens", None)
@@ -134,8 +136,8 @@
         )
 
     def prepare_service(self, incoming: Incoming) -> Prepared | ErrorAnswer:
-        envelope, caller = incoming.envelope, known(incoming.caller)
-        name, _, rest = envelope.path.removeprefix(SERVICES).partition("/")
+        envelope, caller = incoming.envelope, require_caller(incoming.caller)
+        name, _, rest = envelope.path.removeprefix(SERVICES_PREFIX).partition("/")
         service = self.document.services.get(name)
         if service is None:
             return ErrorAnswer(
@@ -143,8 +145,8 @@
             )
         if not may_use(caller, name):
             return answer_denial(Denial.MODEL)
-        wanted = envelope.class_name or service.default_class
-        class_name = choose_class(self.document, caller, wanted)
+        requested_class = envelope.class_name or service.default_class
+        class_name = choose_class(self.document, caller, requested_class)
         if isinstance(class_name, Denial):
             return answer_denial(class_name)
         idempotent = envelope.method in SAFE_METHODS or is_below(
@@ -159,14 +161,14 @@
         outbound = PlainOutbound(
             envelope.method, path, headers, incoming.body, LOAD_HEADER
         )
-        return self.claimed(incoming, spec, outbound)
+        return self.prepare_claimed(incoming, spec, outbound)
 
     def make_spec(self, incoming: Incoming, class_name: str, pool: str) -> RequestSpec:
-        envelope, team = incoming.envelope, known(incoming.caller).team_name
+        envelope, team = incoming.envelope, require_caller(incoming.caller).team_name
         now = self.clock.now()
         deadline = None if envelope.deadline_s is None else now + envelope.deadline_s
         return RequestSpec(
-            RequestId(f"{self.node}-{next(self.numbers)}"),
+            RequestId(f"{self.node}-{next(self.request_numbers)}"),
             TeamName(team),
             ClassName(class_name),
             PoolName(pool),
@@ -175,38 +177,38 @@
             fingerprint=fingerprint(team, envelope.path, incoming.body),
         )
 
-    def claimed(
+    def prepare_claimed(
         self, incoming: Incoming, spec: RequestSpec, outbound: Outbound
     ) -> Prepared:
-        """Return the prepared request, with the claim that its caller's key asks for."""
+        """Return the prepared request, with a claim if its idempotency key needs one."""
         key = incoming.envelope.idempotency_key
         if key is None or spec.idempotent:
             return Prepared(spec, outbound)
-        # What the caller sent, not what goes out: that holds our priority, which the
-        # next configuration may change.
+        # The hash covers what the caller sent rather than what is forwarded: that
+        # contains the priority, which the next configuration may change.
         content = [outbound.method, outbound.path, spec.fingerprint]
         return Prepared(spec, outbound, self.claims.open_call(spec.team, key, content))
 
 
-def known(caller: Caller | None) -> Caller:
-    """Return the caller; this interface lets nobody in without a key."""
+def require_caller(caller: Caller | None) -> Caller:
+    """Return the caller; this API denies every request without a key."""
     assert caller is not None, "a request without a key was denied"
     return caller
 
 
 def service_path(raw_path: str) -> str:
-    """Return what follows the service's name, still encoded as the caller sent it.
+    """Return the path after the service's name, with its percent-encoding.
 
-    Decoded, a `%3F` in a path would become the start of a query.
+    If it were decoded, a `%3F` in it would start a query.
     """
     return "/" + raw_path.split("/", 3)[3] if raw_path.count("/") > 2 else "/"
 
 
 def is_below(path: str, starts: Iterable[str]) -> bool:
-    """Return whether `path` is one of `starts` or below it.
+    """Return whether `path` is one of `starts` or below one of them.
 
     A path with dot segments is below nothing: a service that resolves
-    `/drafts/../charge` runs a charge, which must not be repeated as a draft may.
+    `/drafts/../charge` runs a charge, which must not be retried as a draft may.
     """
     if any(segment in (".", "..") for segment in path.split("/")):
         return False
@@ -216,7 +218,7 @@
 
 
 def list_models(document: Document, caller: Caller) -> dict[str, object]:
-    """Return the models that the caller may use, as OpenAI's API lists them."""
+    """Return the models that the caller may use, in the format of OpenAI's API."""
     data = [
         {"id": name, "object": "model", "created": 0, "owned_by": "godwitmast"}
         for name in sorted(document.models)
--- a/src/godwitmast/entry/outbound.py
+++ b/src/godwitmast/entry/outbound.py
@@ -1,4 +1,4 @@
-"""What is sent to a backend server, and how its answer is read."""
+"""Requests to backend servers, and how their answers are read."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -8,43 +8,43 @@
 import httpx
 import msgspec
 
-from godwitmast.entry.events import EventReader, usage_of_answer
+from godwitmast.entry.events import CompletionReader, read_usage
 from godwitmast.types import BackendId, TokenCount
 
 Headers = list[tuple[str, str]]
 RawHeaders = list[tuple[bytes, bytes]]
 
-HOP_HEADERS = frozenset(
+CONNECTION_HEADERS = frozenset(
     ["connection", "content-length", "date", "keep-alive", "transfer-encoding"]
 )
-"""Headers of an answer that concern one connection only."""
+"""Headers of an answer that apply to a single connection."""
 
-EVENT_STREAM: RawHeaders = [
+EVENT_STREAM_HEADERS: RawHeaders = [
     (b"content-type", b"text/event-stream"),
     (b"cache-control", b"no-cache"),
 ]
 
 
 class ErrorPolicy(Enum):
-    """What a backend server's status of 500 or above is."""
+    """How an answer with status 500 or above is handled."""
 
     ANSWER = "answer"
-    """The caller's to read."""
+    """It is forwarded to the caller."""
     RETRY = "retry"
-    """A failure that another server can make good, and nothing else."""
+    """It fails the attempt, which another server may retry; never forwarded."""
     RETRY_OR_ANSWER = "retry_or_answer"
-    """A failure that another server can make good; else the caller's to read."""
+    """It fails the attempt, and is forwarded if no other attempt succeeds."""
 
 
 class Sending(NamedTuple):
-    """One attempt's head and body."""
+    """Headers and body of one attempt."""
 
     headers: Headers
     content: bytes
 
 
 class WholeAnswer(NamedTuple):
-    """An answer of a backend server that was read to its end."""
+    """A backend server's answer that was read to its end."""
 
     status: int
     headers: RawHeaders
@@ -52,27 +52,27 @@
 
 
 class StreamReader(Protocol):
-    """Splits a stream into whole events; an attempt that takes over goes on there."""
+    """Splits a stream into events; a later attempt resumes after the last of them."""
 
     done: bool
     usage: TokenCount | None
 
     @property
     def given(self) -> int:
-        """Return how many events or tokens were given to the caller."""
+        """Return the number of events or tokens sent to the caller."""
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes off the wire; return the whole events that they complete."""
+        """Add received bytes; return the events that they complete."""
 
     def end(self) -> bytes:
-        """Take that the answer ended as its framing says; return what is left."""
+        """Handle the end of the answer's HTTP framing; return the remaining bytes."""
 
     def restart(self) -> None:
-        """Drop half an event, before another attempt goes on with the stream."""
+        """Drop an incomplete event, before another attempt resumes the stream."""
 
 
 class Outbound(Protocol):
-    """A request as backend servers get it."""
+    """A request as it is sent to backend servers, for all its attempts."""
 
     method: str
     path: str
@@ -82,42 +82,43 @@
 
     @property
     def reader(self) -> StreamReader:
-        """Return what reads the answer's stream, across attempts."""
+        """Return the reader of the answer's stream, which all attempts share."""
 
     def attempt(
         self, backend_id: BackendId, now: float, source: str | None = None
     ) -> Sending:
         """Return what an attempt that starts now sends to a server.
 
-        `source` is the address of another one that it may copy parts of the prompt from.
+        `source` is the address of another server from which it may copy cached parts
+        of the prompt.
         """
 
     def is_ours(self, answer: httpx.Response) -> bool:
         """Return whether an answer belongs to this request."""
 
     def stream_head(self, answer: httpx.Response) -> RawHeaders:
-        """Return the headers that open the caller's stream."""
+        """Return the headers of a streamed answer to the caller."""
 
     def whole_head(self, answer: httpx.Response) -> RawHeaders:
-        """Return the headers of an answer that is passed on whole."""
+        """Return the headers of an answer that is forwarded whole."""
 
     def usage(self, body: bytes) -> TokenCount | None:
-        """Return the server's own count in a whole answer, if it gave one."""
+        """Return the usage that the server reported in a whole answer, or None."""
 
 
 def passed_headers(answer: httpx.Response, dropped: Sequence[str] = ()) -> RawHeaders:
-    """Return an answer's headers but for those of the connection and `dropped`."""
+    """Return an answer's headers without those of the connection and `dropped`."""
     return [
         (name, value)
         for name, value in answer.headers.raw
-        if (text := name.decode("latin-1").lower()) not in HOP_HEADERS
+        if (text := name.decode("latin-1").lower()) not in CONNECTION_HEADERS
         and text not in dropped
     ]
 
 
 @dataclass
 class PlainOutbound:
-    """A request that goes out as it came, with an answer in one piece."""
+    """A request that is forwarded unchanged, with an answer that isn't streamed."""
 
     method: str
     path: str
@@ -127,7 +128,7 @@
     streams: bool = False
     errors: ErrorPolicy = ErrorPolicy.ANSWER
     reports_load: bool = False
-    reader: StreamReader = field(default_factory=EventReader)
+    reader: StreamReader = field(default_factory=CompletionReader)
 
     def attempt(
         self, backend_id: BackendId, now: float, source: str | None = None
@@ -138,7 +139,7 @@
         return True
 
     def stream_head(self, answer: httpx.Response) -> RawHeaders:
-        return EVENT_STREAM
+        return EVENT_STREAM_HEADERS
 
     def whole_head(self, answer: httpx.Response) -> RawHeaders:
         return passed_headers(answer, (self.load_header,))
@@ -149,27 +150,27 @@
 
 @dataclass
 class ModelOutbound(PlainOutbound):
-    """A completion, which another engine can go on with."""
+    """A completion, which another engine can resume."""
 
     body: dict[str, Any] = field(default_factory=dict)
     errors: ErrorPolicy = ErrorPolicy.RETRY
     reports_load: bool = True
-    reader: EventReader = field(default_factory=EventReader)
+    reader: CompletionReader = field(default_factory=CompletionReader)
 
     def attempt(
         self, backend_id: BackendId, now: float, source: str | None = None
     ) -> Sending:
-        """Return the call, going on after the tokens that the caller was given.
+        """Return the call, resumed after the tokens that were sent to the caller.
 
-        The router's count can be a token behind, when it moved a stream while a token
-        was being passed on.
+        They are counted here because the router's count can be one token behind, if it
+        moved the stream while a token was being forwarded.
         """
-        texts = self.reader.texts
-        if not texts:
+        token_texts = self.reader.token_texts
+        if not token_texts:
             return Sending(self.headers, self.content)
-        resume = {"tokens": len(texts), "text": "".join(texts)}
+        resume = {"tokens": len(token_texts), "text": "".join(token_texts)}
         content = msgspec.json.encode({**self.body, "resume": resume})
         return Sending(self.headers, content)
 
     def usage(self, body: bytes) -> TokenCount | None:
-        return usage_of_answer(body)
+        return read_usage(body)
--- a/src/godwitmast/entry/peering.py
+++ b/src/godwitmast/entry/peering.py
@@ -1,4 +1,4 @@
-"""The entry's part among its peers: what it tells them, and what it takes."""
+"""The connection of an entry to its peers: what it publishes, and what it applies."""
 
 from collections.abc import Callable
 from functools import partial
@@ -31,22 +31,22 @@
 from godwitmast.platform_api.client import PlatformClient
 from godwitmast.types import Json
 
-VMS_EVERY_S = 5.0
-VMS_WHEN_LINKED_S = 30.0
-TELL_EVERY_S = 0.1
-"""A quarantine must be known elsewhere before the caller has sent its request again."""
+VM_LIST_INTERVAL_S = 5.0
+VM_LIST_INTERVAL_LINKED_S = 30.0
+PUBLISH_INTERVAL_S = 0.1
+"""A quarantine must reach the peers before the caller resends its request."""
 
 WITHDRAWAL_TTL_S = 120.0
 """Far longer than the configuration that withdraws the key takes to arrive."""
 
 
-def read_peers(driver: PeerDriver, read: Callable[[PeerMachine], float]) -> float:
+def read_machine(driver: PeerDriver, read: Callable[[PeerMachine], float]) -> float:
     return read(driver.machine) if driver.machine else 0.0
 
 
-def count_peers(registry: CollectorRegistry, driver: PeerDriver) -> None:
-    """Show a node's part among its peers; read from the machine when scraped."""
-    readings: dict[str, tuple[str, Callable[[PeerMachine], float]]] = {
+def add_peer_gauges(registry: CollectorRegistry, driver: PeerDriver) -> None:
+    """Register the gauges of a node's peers, which are read when they are scraped."""
+    gauges: dict[str, tuple[str, Callable[[PeerMachine], float]]] = {
         "members": ("Nodes that are listed.", lambda m: len(m.listed())),
         "links": ("Peers linked to.", lambda m: len(m.by_node)),
         "suspicions": ("Suspicions raised here.", lambda m: m.counts.suspicions),
@@ -56,13 +56,13 @@
         "sent_bytes": ("Bytes sent to peers.", lambda m: driver.bytes_sent),
         "bad_frames": ("Malformed frames.", lambda m: driver.bad_frames),
     }
-    for name, (text, read) in readings.items():
+    for name, (text, read) in gauges.items():
         gauge = Gauge(f"godwit_peer_{name}", text, registry=registry)
-        gauge.set_function(partial(read_peers, driver, read))
+        gauge.set_function(partial(read_machine, driver, read))
 
 
-class FollowedConfig:
-    """The follower's configuration as peers spread it."""
+class FollowerConfigSource:
+    """Gives peers the follower's configuration, and offers theirs to the follower."""
 
     def __init__(self, follower: ConfigFollower) -> None:
         self.follower = follower
@@ -92,7 +92,7 @@
 
 
 class Peering:
-    """Joins an entry to its peers."""
+    """Connects an entry to its peers."""
 
     def __init__(
         self,
@@ -113,7 +113,7 @@
             settings.node,
             settings.zone,
             settings.region,
-            FollowedConfig(follower),
+            FollowerConfigSource(follower),
             clock,
         )
         self.driver.on_record = self.take
@@ -121,11 +121,11 @@
         self.service = ServiceSpreading(app.driver, self.driver, clock)
         self.poison = PoisonSpreading(app.driver, self.driver, clock)
         self.leaving = LeavingSpreading(app.driver, self.driver)
-        self.background = Background(self.run_vm_list, self.run_telling)
+        self.background = Background(self.run_vm_list, self.run_publishing)
         follower.listeners.append(self.config_changed)
         follower.is_pushed = self.is_linked
-        count_peers(app.metrics.registry, self.driver)
-        app.peers_listed = self.listed
+        add_peer_gauges(app.metrics.registry, self.driver)
+        app.list_peers = self.listed
         if peer_settings.fault_hook:
             app.fault_hook = self.driver.cut
 
@@ -137,14 +137,14 @@
         await self.background.close()
         await self.driver.close()
 
-    def reaches_other_zones(self) -> bool:
-        """Return whether a peer of another zone is linked, so news can come."""
+    def is_linked_to_other_zone(self) -> bool:
+        """Return whether there is a link to a peer of another zone."""
         machine = self.driver.machine
         links = machine.links.values() if machine else []
         return any(link.node and link.zone != self.driver.zone for link in links)
 
     def listed(self) -> list[str]:
-        """Return the nodes that this one takes for live, itself among them."""
+        """Return the nodes that this one considers live, including itself."""
         machine = self.driver.machine
         return sorted(m.node for m in machine.listed()) if machine else []
 
@@ -153,21 +153,23 @@
         return self.driver.machine is not None and bool(self.driver.machine.links)
 
     async def run_vm_list(self) -> None:
-        """Take the platform's list of VMs as places to look for peers."""
+        """Pass the platform's list of VMs to the driver, as addresses of possible peers."""
         while True:
             try:
                 vms = await self.platform.vms()
                 self.driver.learn([KnownVm(vm.address, vm.node) for vm in vms])
             except PlatformError:
-                # The last list and what peers say do for as long as it is away.
+                # The last list and the peers suffice while the platform is unavailable.
                 pass
-            # Who is linked hears of new nodes from its peers, long before this list.
-            await anyio.sleep(VMS_WHEN_LINKED_S if self.is_linked() else VMS_EVERY_S)
+            # A linked node learns of new nodes from its peers long before this list.
+            await anyio.sleep(
+                VM_LIST_INTERVAL_LINKED_S if self.is_linked() else VM_LIST_INTERVAL_S
+            )
 
-    async def run_telling(self) -> None:
-        """Tell the peers what became known here since the last time."""
+    async def run_publishing(self) -> None:
+        """Publish what became known here since the last round."""
         while True:
-            await anyio.sleep(TELL_EVERY_S)
+            await anyio.sleep(PUBLISH_INTERVAL_S)
             self.poison.tell()
             self.leaving.tell()
             self.load.tell()
@@ -175,17 +177,17 @@
             self.app.driver.expire_leaving()
             if self.driver.machine is not None:
                 self.app.driver.count_entries(1 + len(self.driver.machine.listed()))
-            if self.hears_other_zone():
+            if self.has_peer_in_other_zone():
                 self.follower.heard()
 
-    def hears_other_zone(self) -> bool:
-        """Return whether this node is in touch with more than its own zone."""
+    def has_peer_in_other_zone(self) -> bool:
+        """Return whether any peer to which there is a link is of another zone."""
         machine = self.driver.machine
         links = machine.by_node.values() if machine else []
         return any(link.zone != self.settings.zone for link in links)
 
     def config_changed(self, config: NumberedConfig) -> None:
-        """Tell the withdrawn keys first, then push the configuration itself."""
+        """Publish the withdrawn keys first, then push the configuration itself."""
         hashes = frozenset(config.document.keys)
         for key_hash in self.key_hashes - hashes:
             self.driver.tell(
@@ -195,7 +197,7 @@
         self.driver.config_changed()
 
     def take(self, record: Record) -> None:
-        """Put into effect what a peer told."""
+        """Apply a peer's record."""
         match record.topic:
             case Topic.WITHDRAWN_KEY:
                 self.app.withdraw_key(record.key, record.version)
--- a/src/godwitmast/entry/settings.py
+++ b/src/godwitmast/entry/settings.py
@@ -12,7 +12,7 @@
 
 
 class EntrySettings(NamedTuple):
-    """An entry's own facts; all else is in the numbered configuration."""
+    """Settings of one entry; all else is in the numbered configuration."""
 
     node: str
     zone: str
