--- a/src/godwitmast/control/__init__.py
+++ b/src/godwitmast/control/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon that contends for leases and does the duties of a holder."""
+"""The control daemon, which competes for leases and runs the duty of each that it holds."""
--- a/src/godwitmast/control/cli.py
+++ b/src/godwitmast/control/cli.py
@@ -21,7 +21,7 @@
     check: CheckOption = False,
     version: VersionOption = False,
 ) -> None:
-    """Contend for the leases of the control duties until SIGTERM.
+    """Compete for the leases of the control duties until SIGTERM.
 
     Exit codes: 0 stopped or settings valid, 1 failed, 2 settings not valid.
     """
--- a/src/godwitmast/control/daemon.py
+++ b/src/godwitmast/control/daemon.py
@@ -1,4 +1,4 @@
-"""The control daemon: its admin interface and the duties that it contends for."""
+"""The control daemon: its admin interface and the duties that it competes for."""
 
 import anyio
 from anyio.abc import TaskGroup
@@ -49,7 +49,7 @@
         self.server = HttpServer(self.app, settings.listen, settings.tls, grace_s=2.0)
 
     def add_duty(self, duty: Duty) -> None:
-        """Contend for a lease of the duty's name, and run it while it is held."""
+        """Compete for the duty's lease, and run the duty while the lease is held."""
         settings = self.settings
         self.leases.append(
             LeaseDriver(self.platform, self.clock, duty, settings.node, settings.lease)
@@ -63,7 +63,7 @@
         log_event("control_started", node=self.settings.node, url=self.server.url)
 
     async def close(self) -> None:
-        """Give up the leases, then stop."""
+        """Release the leases, then stop."""
         async with anyio.create_task_group() as tasks:
             for lease in self.leases:
                 tasks.start_soon(lease.close)
--- a/src/godwitmast/control/settings.py
+++ b/src/godwitmast/control/settings.py
@@ -9,7 +9,7 @@
 
 
 class ControlSettings(NamedTuple):
-    """A control daemon's own facts."""
+    """Settings of one control daemon."""
 
     node: str
     zone: str
--- a/src/godwitmast/routes/__init__.py
+++ b/src/godwitmast/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Routes: which class, pool and rules a request falls under by its host and path."""
+"""Routes: the class, pool and rules of a request, by its host and path."""
--- a/src/godwitmast/routes/table.py
+++ b/src/godwitmast/routes/table.py
@@ -1,4 +1,4 @@
-"""Chooses the route of a request by its host and the longest prefix of its path."""
+"""The table that finds a request's route by host and longest path prefix."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -7,17 +7,18 @@
 
 
 class Split(NamedTuple):
-    """A pool's part of a route's requests, by weight."""
+    """A pool that receives a weighted share of a route's requests."""
 
     pool: PoolName
     weight: float
 
 
 class Route(NamedTuple):
-    """What holds for the requests of a host below a prefix.
+    """The rules for requests to a host whose path starts with a prefix.
 
-    `timeout_s` is the longest that a caller is kept waiting. A route that is `public`
-    takes requests without a key. `attempts` counts the servers that may run a request.
+    `timeout_s` is the longest time until the caller has its final answer. A `public`
+    route accepts requests without a key. `attempts` limits the servers that may run a
+    request.
     """
 
     name: str
@@ -34,7 +35,7 @@
     resumable: bool = False
 
     def choose_pool(self, draw: float) -> PoolName:
-        """Return a pool by the weights, for a `draw` from 0 up to 1."""
+        """Return a pool by weight, for a random `draw` in [0, 1)."""
         left = draw * sum(split.weight for split in self.splits)
         for split in self.splits:
             left -= split.weight
@@ -44,7 +45,7 @@
 
 
 class RouteTable:
-    """All routes, looked up in time that grows with the path and not with them."""
+    """All routes; the time of a look-up depends on the path, not on their number."""
 
     def __init__(self, routes: Iterable[Route] = ()) -> None:
         self.hosts: dict[str, dict[str, Route]] = {}
@@ -52,7 +53,7 @@
             self.hosts.setdefault(route.host.lower(), {})[route.prefix] = route
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix, each of which ends with a slash."""
+        """Return the route with the longest matching prefix; prefixes end with a slash."""
         prefixes = self.hosts.get(host.lower())
         if prefixes is None:
             return None
