--- a/src/godwitmast/keys/authorizer.py
+++ b/src/godwitmast/keys/authorizer.py
@@ -1,4 +1,4 @@
-"""From a caller's key to its team, class and models."""
+"""Authentication of a caller's key, and what the key allows: team, class and models."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -7,11 +7,11 @@
 from godwitmast.keys.hashing import hash_key
 
 CONTACT_EVERY_S = 5.0
-"""A process that has heard from platform or peers within this is not cut off."""
+"""Longest time between two contacts with platform or peers in normal operation."""
 
 
 class Denial(Enum):
-    """Why a key does not let its caller in; the value is the public error code."""
+    """Why a key is denied; the value is the public error code."""
 
     MISSING = "missing_key"
     UNKNOWN = "invalid_key"
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """Who calls, as their key says."""
+    """An authenticated caller: its key's grant and its team."""
 
     key_hash: str
     grant: KeyGrant
@@ -37,9 +37,9 @@
 def identify(
     document: Document, key: str | None, wall: float, cut_off_s: float = 0.0
 ) -> Caller | Denial:
-    """Return who calls with `key`, or why the key is of no use.
+    """Return the caller with this key, or why the key is denied.
 
-    `cut_off_s` is for how long a withdrawal could not have reached this process.
+    `cut_off_s` is the time for which no withdrawal could have reached this process.
     """
     if not key:
         return Denial.MISSING
@@ -56,13 +56,13 @@
 
 
 def past_grace(team: Team, cut_off_s: float) -> bool:
-    """Return whether a team wants its keys refused after so long without news.
+    """Return whether the team's keys are refused after this time without contact.
 
-    An availability zone that is cut off cannot hear of a withdrawal. Most teams lose
-    more by being refused, so there is no limit by default; a team whose keys guard
-    money may set one, down to zero.
+    A disconnected availability zone doesn't receive withdrawals of keys. Being refused
+    costs most teams more than that risk, so there is no limit by default; a team whose
+    keys protect money may set one, down to zero.
     """
-    # Even a healthy process last heard of the platform one pull ago.
+    # Even a connected process had its last contact up to one pull ago.
     grace = team.offline_grace_s
     return grace is not None and cut_off_s > grace + CONTACT_EVERY_S
 
@@ -70,7 +70,7 @@
 def still_granted(
     document: Document, caller: Caller, wall: float, cut_off_s: float = 0.0
 ) -> bool:
-    """Return whether an open stream's key is still good under `document`."""
+    """Return whether `document` still allows an open stream's key."""
     grant = document.keys.get(caller.key_hash)
     if grant is None or grant.team != caller.grant.team:
         return False
@@ -80,7 +80,7 @@
 
 
 def choose_class(document: Document, caller: Caller, name: str | None) -> str | Denial:
-    """Return the class that the caller asked for or falls to by its grant."""
+    """Return the class that the caller asked for, or the grant's default class."""
     chosen = name or caller.grant.default_class
     if chosen not in document.classes:
         return Denial.CLASS
@@ -91,7 +91,7 @@
 
 
 def may_use(caller: Caller, pool: str) -> bool:
-    """Return whether key and team allow the model or service."""
+    """Return whether both key and team allow the model or service."""
     return all(
         not allowed or pool in allowed
         for allowed in (caller.grant.models, caller.team.models)
--- a/src/godwitmast/keys/hashing.py
+++ b/src/godwitmast/keys/hashing.py
@@ -1,4 +1,4 @@
-"""Callers' keys as they are stored and compared: by hash only."""
+"""Hashes of callers' keys; keys are stored and compared only as hashes."""
 
 import hashlib
 import secrets
@@ -7,14 +7,14 @@
 
 
 def new_key() -> str:
-    """Return a fresh key, which is shown to its owner once and never stored."""
+    """Return a random key, which is shown to its owner once and never stored."""
     return KEY_PREFIX + secrets.token_urlsafe(32)
 
 
 def hash_key(key: str) -> str:
     """Return the digest under which a grant is stored.
 
-    Keys are long and random, so a plain digest does: there is nothing to guess that
-    a slow hash would protect, and each request pays for this one.
+    Keys are long and random, so they can't be guessed and need no slow password hash,
+    whose cost each request would bear.
     """
     return hashlib.sha256(key.encode()).hexdigest()
