--- a/tests/test_dispatch_entry.py
+++ b/tests/test_dispatch_entry.py
@@ -1,4 +1,4 @@
-"""Failures of backend servers, over real sockets from the caller to the engine."""
+"""Failures of backend servers, with real sockets from caller to engine."""
 
 import json
 from pathlib import Path
@@ -29,7 +29,7 @@
 
 
 def positions(answer: httpx.Response) -> list[int]:
-    """Return the places in the whole answer of the tokens that came."""
+    """Return the positions of the received tokens in the whole answer."""
     events = [x[6:] for x in answer.text.splitlines() if x.startswith("data: ")]
     assert events.pop() == "[DONE]", answer.text[-500:]
     words = [json.loads(e)["choices"][0]["delta"]["content"] for e in events]
@@ -37,7 +37,7 @@
 
 
 def engines_with_tokens(system: DevSystem) -> list[StandinEngine]:
-    """Return the engines of streams that the entry has passed tokens of."""
+    """Return the engines from which the entry has forwarded tokens."""
     book = system.entries[0].driver.router.book
     return [
         engine
@@ -46,13 +46,13 @@
     ]
 
 
-async def test_streams_of_a_hung_engine_go_on_elsewhere(
+async def test_streams_of_a_hung_engine_resume_on_other_engines(
     system: DevSystem, http: httpx.AsyncClient
 ) -> None:
-    """An engine hangs under six streams, with its connections open.
+    """An engine hangs during six streams, with its connections open.
 
-    The router sees no token from it for longer than is usual, cancels the attempts
-    there, and resumes them on the other engines: no token is missing or comes twice.
+    The router detects an inter-token gap longer than usual, cancels the attempts there
+    and resumes them on the other engines: no token is missing or sent twice.
     """
     async with running(system):
         url = system.entries[0].server.url
@@ -79,17 +79,17 @@
         assert all(record not in busy[0].served for record in resumed)
 
 
-async def test_server_that_is_not_there_costs_no_request(
+async def test_unreachable_server_fails_no_request(
     http: httpx.AsyncClient,
 ) -> None:
     system = DevSystem(engines=2)
     async with running(system):
         urls = [engine.server.url for engine in system.engines]
-        dead = f"http://127.0.0.1:{free_port()}"
-        system.put_config(dev_document([dead, *urls], system.service.server.url))
+        unreachable = f"http://127.0.0.1:{free_port()}"
+        system.put_config(dev_document([unreachable, *urls], system.service.server.url))
         entry = system.entries[0]
         with anyio.fail_after(10):
-            while dead not in entry.driver.urls.values():
+            while unreachable not in entry.driver.urls.values():
                 await anyio.sleep(0.02)
         for _ in range(12):
             assert (await ask(http, entry.server.url, "length=3")).status_code == 200
@@ -98,7 +98,7 @@
 async def test_refusal_to_run_is_retried_and_a_payment_runs_once(
     system: DevSystem, http: httpx.AsyncClient
 ) -> None:
-    """A service says three times that it did not run a payment, and then runs it."""
+    """A service refuses a payment three times without running it, then runs it."""
     async with running(system):
         url = system.entries[0].server.url
         system.service.faults.refuse = 3
@@ -111,14 +111,17 @@
             assert positions(await ask(http, url, "length=4")) == [1, 2, 3, 4]
 
 
-async def test_load_rides_on_answers_and_is_not_passed_on(
+async def test_load_header_is_read_and_not_forwarded(
     system: DevSystem, http: httpx.AsyncClient
 ) -> None:
     async with running(system):
         entry = system.entries[0]
-        heard = []
+        reports = []
         reported = entry.driver.load_reported
-        entry.driver.load_reported = lambda *args: (heard.append(args), reported(*args))
+        entry.driver.load_reported = lambda *args: (
+            reports.append(args),
+            reported(*args),
+        )
         answer = await http.post(
             f"{entry.server.url}/v1/chat/completions",
             headers=BEARER,
@@ -126,7 +129,7 @@
         )
         assert answer.status_code == 200
         assert "engine-load" not in answer.headers
-        assert any(report.age_s == 0.0 for _, report in heard)
+        assert any(report.age_s == 0.0 for _, report in reports)
 
 
 async def get_ready(http: httpx.AsyncClient, daemon: Process) -> None:
@@ -135,13 +138,14 @@
             await anyio.sleep(0.05)
 
 
-async def test_poison_request_ends_two_engines_and_not_the_third(
+async def test_poison_request_crashes_two_engines_and_not_the_third(
     processes: Processes, http: httpx.AsyncClient, tmp_path: Path
 ) -> None:
-    """A prompt makes each engine process that reads it exit; its caller resends it.
+    """A prompt crashes each engine process that receives it; its caller resends it.
 
-    The first engine dies, the retry kills the second, and then the request is refused
-    with 422. The third engine serves on, and so do streams cut by the crashes.
+    It crashes the first engine, its retry the second one, and then the request is
+    refused with 422. The third engine continues to serve, and the streams interrupted
+    by the crashes are resumed.
     """
     engines = [
         processes.spawn(f"engine-{n}", "godwitmast.standins.cli", "engine")
@@ -162,20 +166,20 @@
     await get_ready(http, entry)
     answers: list[httpx.Response] = []
 
-    async def innocent(number: int) -> None:
+    async def other_caller(number: int) -> None:
         answers.append(await ask(http, entry.url, f"caller {number} length=150"))
 
     async with anyio.create_task_group() as tasks:
         for number in range(6):
-            tasks.start_soon(innocent, number)
+            tasks.start_soon(other_caller, number)
         await anyio.sleep(0.5)
-        bad = await ask(http, entry.url, "boom")
-        assert bad.status_code == 422
-        assert bad.headers["godwit-not-run"] == "unknown"
-        again = await ask(http, entry.url, "boom")
-        assert again.status_code == 422
-        assert again.json()["error"]["code"] == "quarantined"
-        assert again.headers["godwit-not-run"] == "true"
+        first_answer = await ask(http, entry.url, "boom")
+        assert first_answer.status_code == 422
+        assert first_answer.headers["godwit-not-run"] == "unknown"
+        second_answer = await ask(http, entry.url, "boom")
+        assert second_answer.status_code == 422
+        assert second_answer.json()["error"]["code"] == "quarantined"
+        assert second_answer.headers["godwit-not-run"] == "true"
     assert sum(engine.popen.poll() is None for engine in engines) == 1
     assert len(answers) == 6
     for answer in answers:
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -1,4 +1,4 @@
-"""A VM with nothing to do leaves its processor alone."""
+"""An idle VM uses almost no processor time."""
 
 from collections import Counter
 
@@ -16,7 +16,7 @@
 async def test_router_without_requests_is_ticked_seldom(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Hundreds of idle VMs ticked their routers twenty times a second each."""
+    """Guards against idle VMs that tick their routers twenty times a second each."""
     monkeypatch.setattr(driver, "IDLE_TICK_S", 60.0)
     ticks: Counter[str] = Counter()
     async with running(Fleet()) as fleet:
@@ -32,10 +32,10 @@
         assert ticks["all"] <= 1
 
 
-async def test_rows_that_lapsed_go_although_nothing_looked_before(
+async def test_expired_rows_are_removed_although_the_task_was_asleep(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The task that lets rows go sleeps until an outage took some."""
+    """The task that removes rows after a grace sleeps until an outage makes some missing."""
     monkeypatch.setattr("godwitmast.platform_api.feed.RETURN_GRACE_S", 0.2)
     monkeypatch.setattr("godwitmast.platform_api.feed.WAIT_S", 0.3)
     async with running(Fleet()) as fleet:
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Callers' keys: expiry, withdrawal of connected callers, and zones cut off."""
+"""Callers' keys: expiry, withdrawal during a stream, and disconnected zones."""
 
 import time
 
@@ -23,7 +23,7 @@
 
 
 async def put(system: DevSystem, team: dict | None = None, **grant: object) -> None:
-    """Accept a configuration with a changed team and key of arima."""
+    """Publish a configuration with a changed team and key of arima; await it."""
     urls = [engine.server.url for engine in system.engines]
     document = dev_document(urls, system.service.server.url)
     document["teams"]["arima"] = team or {}
@@ -37,10 +37,10 @@
 async def test_stream_of_a_key_that_expires_is_ended(
     system: DevSystem, http: httpx.AsyncClient
 ) -> None:
-    """The caller reads a long answer; its key expires on the way.
+    """A caller's key expires while it receives a long answer.
 
-    The stream ends with an error event within the second in which open streams are
-    looked through, rather than going on for as long as the answer is.
+    The stream ends with an error event at the next check of open streams, which runs
+    every second, rather than at the end of the answer.
     """
     async with running(system):
         await put(system, expires_at=time.time() + 4.0)
@@ -54,13 +54,13 @@
         assert refused.json()["error"]["code"] == "expired_key"
 
 
-async def test_zone_cut_off_refuses_only_teams_that_want_it(
+async def test_disconnected_zone_refuses_only_teams_with_an_offline_grace(
     system: DevSystem, http: httpx.AsyncClient
 ) -> None:
-    """Nothing has been heard of the platform for a minute, and there are no peers.
+    """The entry has had no contact with the platform for a minute, and has no peers.
 
-    A withdrawal could not have arrived. The team with a grace of 30 s is refused, as
-    not run; the others go on.
+    A withdrawal could not have arrived. The team with an offline grace of 30 s is
+    refused, with "not run"; other teams are served.
     """
     async with running(system):
         await put(system, team={"offline_grace_s": 30.0})
@@ -75,7 +75,7 @@
         assert (await http.get(url, headers=other)).status_code == 200
 
 
-async def test_follower_knows_for_how_long_it_was_cut_off(system: DevSystem) -> None:
+async def test_follower_reports_how_long_it_was_disconnected(system: DevSystem) -> None:
     async with running(system):
         follower = system.entries[0].follower
         assert follower.cut_off_s() < 5.0
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes by host and prefix."""
+"""Look-up of routes by host and prefix."""
 
 import pytest
 
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -1,4 +1,4 @@
-"""What callers see while an entry stops."""
+"""Answers to callers while an entry stops."""
 
 import json
 
@@ -15,7 +15,7 @@
 
 BEARER = {"Authorization": f"Bearer {dev_key('arima')}"}
 FAR_BELOW_STOP_TIMEOUT_S = 20
-"""An entry waits 120 s for open requests; what needs no wait must end long before."""
+"""An entry waits up to 120 s for open requests; without any it must stop long before."""
 
 
 def streamed(length: int) -> dict:
@@ -23,20 +23,20 @@
     return {"model": MODEL, "messages": [message], "stream": True}
 
 
-def words_of(text: str) -> list[int]:
-    """Return the numbers of a streamed answer's words; it must be whole."""
+def read_word_numbers(text: str) -> list[int]:
+    """Return the word numbers of a streamed answer, which must be complete."""
     events = [line[6:] for line in text.splitlines() if line.startswith("data: ")]
     assert events.pop() == "[DONE]"
     words = [json.loads(e)["choices"][0]["delta"]["content"] for e in events]
     return [int(word.split("-")[1]) for word in words]
 
 
-async def test_open_stream_ends_whole_while_the_entry_stops(
+async def test_open_stream_completes_while_the_entry_stops(
     system: DevSystem, http: httpx.AsyncClient
 ) -> None:
-    """An entry is told to stop in the middle of an answer.
+    """An entry is stopped in the middle of an answer.
 
-    Its listener closes, and hypercorn is told to end; the stream goes on to its last
+    Its listener closes and hypercorn shuts down; the stream continues to its last
     token, and only then the entry is closed.
     """
     async with running(system), anyio.create_task_group() as tasks:
@@ -48,15 +48,15 @@
                 if not text:
                     tasks.start_soon(entry.close)
                 text += piece
-        assert words_of(text) == list(range(1, 151))
+        assert read_word_numbers(text) == list(range(1, 151))
         with anyio.fail_after(FAR_BELOW_STOP_TIMEOUT_S):
             await entry.server.stopped.wait()
 
 
-async def test_idle_connections_do_not_hold_up_the_stop(
+async def test_idle_connections_do_not_delay_the_stop(
     system: DevSystem, http: httpx.AsyncClient
 ) -> None:
-    """Callers keep connections open between requests; none of them is a request."""
+    """Callers keep idle connections open between requests; the stop ignores these."""
     async with running(system):
         entry = system.entries[0]
         assert (await http.get(f"{entry.server.url}/livez")).status_code == 200
@@ -67,10 +67,10 @@
 async def test_answers_during_the_balancer_wait_close_their_connections(
     system: DevSystem, http: httpx.AsyncClient
 ) -> None:
-    """A caller that keeps its connection would send its next request into the close.
+    """A caller that reuses its connection could send a request while it is closed.
 
-    While the entry waits for the balancer it serves on, not ready, and says with each
-    answer that the connection ends.
+    While the entry waits for the load balancer it is unready but still serves, and
+    each answer has the header `Connection: close`.
     """
     async with running(system):
         entry = system.entries[0]
@@ -87,16 +87,16 @@
                 f"{url}/v1/chat/completions", headers=BEARER, json=streamed(5)
             )
         ).text
-        assert words_of(text) == [1, 2, 3, 4, 5]
+        assert read_word_numbers(text) == [1, 2, 3, 4, 5]
 
 
-async def test_callers_of_a_dead_entry_are_all_taken_in_by_another(
+async def test_callers_of_a_failed_entry_are_all_answered_by_another(
     http: httpx.AsyncClient,
 ) -> None:
-    """An entry dies, and two hundred callers connect to the next one at once.
+    """An entry fails, and two hundred callers connect to the next one at once.
 
-    Each gets an answer or a refusal that says when to come back; none is left hanging,
-    and the entry is ready throughout.
+    Each gets an answer or a refusal with a retry-after; none waits without an answer,
+    and the entry stays ready.
     """
     system = DevSystem(entries=2)
     async with running(system):
@@ -112,12 +112,12 @@
                 assert int(answer.headers["retry-after"]) >= 1
             statuses.append(answer.status_code)
 
-        async def storm(tasks: TaskGroup) -> None:
+        async def connect_all(tasks: TaskGroup) -> None:
             for _ in range(200):
                 tasks.start_soon(call)
 
         async with anyio.create_task_group() as tasks:
-            await storm(tasks)
+            await connect_all(tasks)
             assert (await http.get(f"{url}/readyz")).status_code == 200
         assert len(statuses) == 200
         assert set(statuses) <= {200, 429, 503}
