--- a/src/godwitmast/entry/__init__.py
+++ b/src/godwitmast/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon that takes callers' requests on an entry VM."""
+"""The daemon that serves callers' requests on an entry VM."""
--- a/src/godwitmast/entry/app.py
+++ b/src/godwitmast/entry/app.py
@@ -104,7 +104,7 @@
 
     @property
     def document(self) -> Document:
-        assert self.config is not None, "requests are taken only once ready"
+        assert self.config is not None, "requests are served only once ready"
         return self.config.document
 
     @property
--- a/src/godwitmast/entry/claim_answers.py
+++ b/src/godwitmast/entry/claim_answers.py
@@ -12,7 +12,7 @@
 from godwitmast.entry.refusals import ErrorAnswer
 
 RETRY_AFTER_S = 2.0
-MAX_RUN_S = 600.0
+POSSIBLY_RUNNING_S = 600.0
 """How long a call without a stored answer counts as possibly still running.
 
 This only decides whether the caller gets a retry-after, never whether the call runs
@@ -55,7 +55,7 @@
         case OtherBody():
             return OTHER_BODY
         case InDoubt(may_end, at):
-            running = may_end and wall - at < MAX_RUN_S
+            running = may_end and wall - at < POSSIBLY_RUNNING_S
             return STILL_RUNNING if running else OUTCOME_UNKNOWN
         case Stored():
             return ANSWER_NOT_KEPT
--- a/src/godwitmast/entry/driver.py
+++ b/src/godwitmast/entry/driver.py
@@ -250,7 +250,7 @@
 
     @property
     def policy(self) -> Policy:
-        assert self.router is not None, "requests are taken only once ready"
+        assert self.router is not None, "requests are served only once ready"
         return self.router
 
     def deliver_actions(self, actions: list[Action]) -> None:
--- a/src/godwitmast/entry/openai.py
+++ b/src/godwitmast/entry/openai.py
@@ -55,7 +55,7 @@
 
     @property
     def document(self) -> Document:
-        assert self.config is not None, "requests are taken only once ready"
+        assert self.config is not None, "requests are served only once ready"
         return self.config.document
 
     def limits(self) -> Limits:
@@ -94,7 +94,9 @@
     def prepare_model(self, incoming: Incoming) -> Prepared | ErrorAnswer:
         envelope, caller = incoming.envelope, require_caller(incoming.caller)
         if envelope.method != "POST":
-            return ErrorAnswer(405, "method_not_allowed", "Completions take POST.")
+            return ErrorAnswer(
+                405, "method_not_allowed", "Completions accept only POST."
+            )
         call = read_model_call(incoming.body, COMPLETION_PATHS[envelope.path])
         if isinstance(call, ErrorAnswer):
             return call
--- a/src/godwitmast/entry/peering.py
+++ b/src/godwitmast/entry/peering.py
@@ -167,7 +167,7 @@
             )
 
     async def run_publishing(self) -> None:
-        """Publish what became known here since the last round."""
+        """Publish changed soft state, and refresh what is derived from the peers."""
         while True:
             await anyio.sleep(PUBLISH_INTERVAL_S)
             self.poison.tell()
--- a/src/godwitmast/entry/spreading.py
+++ b/src/godwitmast/entry/spreading.py
@@ -222,7 +222,7 @@
 
 
 def round_tokens(total: tuple[int, float]) -> tuple[int, int]:
-    """Round tokens down to integers, which take fewer bytes."""
+    """Round tokens down, to save bytes; in totals the error doesn't accumulate."""
     return total[0], int(total[1])
 
 
--- a/src/godwitmast/keys/authorizer.py
+++ b/src/godwitmast/keys/authorizer.py
@@ -7,7 +7,7 @@
 from godwitmast.keys.hashing import hash_key
 
 CONTACT_EVERY_S = 5.0
-"""Longest time between two contacts with platform or peers in normal operation."""
+"""A process whose last contact with platform or peers is no older is connected."""
 
 
 class Denial(Enum):
