--- a/src/godwitmast/peers/__init__.py
+++ b/src/godwitmast/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Membership and spreading of state among entry VMs."""
+"""Gossip among entry VMs: membership, shared records and the configuration."""
--- a/src/godwitmast/peers/config_source.py
+++ b/src/godwitmast/peers/config_source.py
@@ -1,4 +1,4 @@
-"""What the machine needs of the configuration, and its smallest implementation."""
+"""Interface through which the peer state machine reads and adopts configurations."""
 
 from typing import Protocol
 
@@ -6,14 +6,14 @@
 
 
 class ConfigSource(Protocol):
-    """The configuration as peers spread it; a lower number is never adopted."""
+    """The configuration as peers exchange it; a lower version is never adopted."""
 
     @property
     def version(self) -> int:
-        """Return the number in force, or 0 if there is none."""
+        """Return the version in force, or 0 if there is none."""
 
     def deltas(self, after: int) -> Json | None:
-        """Return what leads from `after` to `version`, or None if that is not kept."""
+        """Return the deltas from `after` to `version`, or None if they are not kept."""
 
     def snapshot(self) -> Json | None:
         """Return the whole configuration in force."""
--- a/src/godwitmast/peers/config_spread.py
+++ b/src/godwitmast/peers/config_spread.py
@@ -1,4 +1,4 @@
-"""How the configuration goes from peer to peer: pushed as deltas, asked for whole."""
+"""Configuration gossip: deltas are pushed, whole snapshots only sent on request."""
 
 import random
 from collections.abc import Collection
@@ -7,23 +7,23 @@
 from godwitmast.peers.links import Link
 from godwitmast.peers.messages import ConfigKind, ConfigPart
 
-ASK_EVERY_S = 1.0
+REQUEST_INTERVAL_S = 1.0
 
 
 class ConfigSpread:
-    """What one node gives to its links, and asks of them."""
+    """One node's exchange of the configuration with its linked peers."""
 
-    def __init__(self, source: ConfigSource, choose: random.Random, now: float) -> None:
+    def __init__(self, source: ConfigSource, rng: random.Random, now: float) -> None:
         self.source = source
-        self.random = choose
-        self.asked_at = now - ASK_EVERY_S
+        self.random = rng
+        self.requested_at = now - REQUEST_INTERVAL_S
 
-    def take(self, link: Link, part: ConfigPart) -> bool:
+    def handle_part(self, link: Link, part: ConfigPart) -> bool:
         """Answer a request, or adopt what came; return whether the version rose."""
         before = self.source.version
         match part.kind:
             case ConfigKind.WANT:
-                self.give(link, part.after)
+                self.send_config(link, part.after)
             case ConfigKind.DELTAS if part.after <= before < part.number:
                 self.source.adopt_deltas(part.after, part.number, part.payload)
             case ConfigKind.SNAPSHOT if part.number > before:
@@ -33,8 +33,8 @@
             link.config_version = max(link.config_version, self.source.version)
         return risen
 
-    def give(self, link: Link, after: int) -> None:
-        """Send deltas if they are kept that far back, else the whole."""
+    def send_config(self, link: Link, after: int) -> None:
+        """Queue the deltas since `after`, or a snapshot if they are not kept."""
         number = self.source.version
         if number <= after:
             return
@@ -45,11 +45,11 @@
             whole = self.source.snapshot()
             link.config_part = ConfigPart(ConfigKind.SNAPSHOT, after, number, whole)
 
-    def push(self, link: Link) -> None:
-        """Push deltas to a peer, or tell it of the number and let it ask.
+    def push_deltas(self, link: Link) -> None:
+        """Push deltas to a peer that is behind, or only the version number.
 
-        A whole configuration is only ever sent to one that asked: pushed by every
-        neighbour at once it would come ten times.
+        A snapshot is sent on request only: pushed by every neighbour at once it would
+        arrive ten times.
         """
         number = self.source.version
         after = max(link.config_version, link.pushed_config)
@@ -61,12 +61,12 @@
             link.pushed_config = number
             link.config_part = ConfigPart(ConfigKind.DELTAS, after, number, deltas)
 
-    def ask(self, links: Collection[Link], now: float) -> None:
-        """Ask one peer at a time for a configuration that is ahead of this node's."""
+    def request_newer(self, links: Collection[Link], now: float) -> None:
+        """Request a newer configuration from one peer, at most once a second."""
         version = self.source.version
         ahead = [link for link in links if link.config_version > version]
-        if not ahead or now - self.asked_at < ASK_EVERY_S:
+        if not ahead or now - self.requested_at < REQUEST_INTERVAL_S:
             return
-        self.asked_at = now
+        self.requested_at = now
         best = max(ahead, key=lambda link: (link.config_version, self.random.random()))
         best.config_part = ConfigPart(ConfigKind.WANT, version)
--- a/src/godwitmast/peers/driver.py
+++ b/src/godwitmast/peers/driver.py
@@ -1,4 +1,4 @@
-"""Links between peers over websockets: carries out what the peer machine asks."""
+"""Driver of `PeerMachine`: executes its outputs over websocket links."""
 
 import itertools
 import ssl
@@ -40,18 +40,19 @@
 from godwitmast.types import Json
 
 TICK_S = 0.25
-OUTBOX = 8
-"""Frames; the machine sends one at a time, and a few at the end."""
+OUTBOX_FRAMES = 8
+"""Capacity of a link's outbox: the machine sends one frame at a time, and a few more
+when a link ends."""
 
-CLOSE_S = 1.0
-LEAVE_S = 0.5
-"""How long the news that this node leaves has to reach its neighbours."""
+CLOSE_TIMEOUT_S = 1.0
+LEAVE_FLUSH_S = 0.5
+"""How long a stopping node waits until its last frames are written."""
 
-QUIET = quiet_logger("godwitmast.websockets")
+WEBSOCKET_LOGGER = quiet_logger("godwitmast.websockets")
 
 
 class PeerDriver:
-    """The peers of one node, in the task group of `start`."""
+    """One node's peer links, which run in the task group of `start`."""
 
     def __init__(
         self,
@@ -75,22 +76,22 @@
         self.tls: tuple[TlsContext, TlsContext] | None = None
         if settings.tls != "off":
             self.tls = (peer_server_tls(settings.tls), peer_client_tls(settings.tls))
-        self.numbers = itertools.count(1)
+        self.link_ids = itertools.count(1)
         self.outboxes: dict[int, MemoryObjectSendStream[Frame]] = {}
         self.on_record: Callable[[Record], None] = lambda record: None
         self.on_members: Callable[[], None] = lambda: None
-        self.cut_zones: frozenset[str] = frozenset()
+        self.partitioned_zones: frozenset[str] = frozenset()
         self.bytes_sent = 0
         self.bad_frames = 0
         self.frames_read = 0
 
     @property
     def address(self) -> str:
-        assert self.machine is not None, "the address is known once started"
+        assert self.machine is not None, "the address is known after start()"
         return self.machine.place.address
 
     async def start(self, tasks: TaskGroup) -> None:
-        """Listen for peers, and begin to look for them."""
+        """Listen for peers and start dialling them."""
         self.tasks = tasks
         listener = bind(self.settings.listen)
         listener.listen(MAX_LINKS)
@@ -112,21 +113,23 @@
             max_queue=4,
             compression=None,
             ping_interval=None,
-            close_timeout=CLOSE_S,
-            open_timeout=self.timing.dial_timeout,
-            logger=QUIET,
+            close_timeout=CLOSE_TIMEOUT_S,
+            open_timeout=self.timing.dial_timeout_s,
+            logger=WEBSOCKET_LOGGER,
         )
         log_event("peers_listening", address=place.address, tls=bool(self.tls))
         tasks.start_soon(self.run_ticks)
 
     async def close(self) -> None:
-        """Tell the peers that this node leaves, then hang up on them."""
+        """Announce to the peers that this node leaves, then close all links."""
         if self.machine is None or self.server is None:
             return
         self.machine.leave(self.clock.now())
-        self.carry_out()
-        with anyio.move_on_after(LEAVE_S):
-            while any(box.statistics().current_buffer_used for box in self.boxes()):
+        self.apply_outputs()
+        with anyio.move_on_after(LEAVE_FLUSH_S):
+            while any(
+                box.statistics().current_buffer_used for box in self.open_outboxes()
+            ):
                 await anyio.sleep(0.01)
             await anyio.sleep(0.05)
         self.server.close(close_connections=True)
@@ -134,13 +137,13 @@
         for link_id in list(self.outboxes):
             self.hang_up(link_id)
 
-    def boxes(self) -> list[MemoryObjectSendStream[Frame]]:
+    def open_outboxes(self) -> list[MemoryObjectSendStream[Frame]]:
         return list(self.outboxes.values())
 
-    # What the application tells.
+    # Calls of the application.
 
     def learn(self, vms: list[KnownVm]) -> None:
-        """Take the platform's list of VMs, beside the seeds of the settings."""
+        """Replace the platform's list of VMs; the seeds of the settings stay."""
         if self.machine is not None:
             seeds = [KnownVm(address) for address in self.settings.seeds]
             self.machine.learn_addresses(seeds + vms, self.clock.now())
@@ -149,7 +152,7 @@
         """Push the configuration that is now in force."""
         if self.machine is not None:
             self.machine.config_changed(self.clock.now())
-            self.carry_out()
+            self.apply_outputs()
 
     def tell(
         self,
@@ -159,30 +162,30 @@
         left_s: float,
         version: int | None = None,
     ) -> None:
-        """Spread a fact; see `PeerMachine.tell`."""
+        """Spread a record for `left_s` seconds; see `PeerMachine.tell`."""
         if self.machine is not None:
             now = self.clock.now()
             self.machine.tell(topic, key, value, left_s, now, version)
-            self.carry_out()
+            self.apply_outputs()
 
     def cut(self, zones: frozenset[str]) -> None:
-        """Lose every frame to and from nodes of `zones`, without closing a link."""
-        self.cut_zones = zones
+        """Drop every frame to and from nodes of `zones`, without closing a link."""
+        self.partitioned_zones = zones
         log_event("peers_fault_hook", level="WARNING", cut=",".join(sorted(zones)))
 
-    # The machine's outputs.
+    # Outputs of the machine.
 
-    def carry_out(self) -> None:
+    def apply_outputs(self) -> None:
         assert self.machine is not None, "links and ticks begin after the start"
         for output in self.machine.take_outputs():
-            self.do(output)
+            self.apply_output(output)
 
-    def do(self, output: Output) -> None:
+    def apply_output(self, output: Output) -> None:
         match output:
             case Send(link_id, frame):
                 box = self.outboxes.get(link_id)
                 if box is not None:
-                    self.put(box, frame)
+                    self.enqueue_frame(box, frame)
             case Dial(address):
                 self.tasks.start_soon(self.dial, address)
             case HangUp(link_id, reason):
@@ -194,12 +197,12 @@
                 log_event("peer_state", node=node, state=state.name.lower())
                 self.on_members()
 
-    def put(self, box: MemoryObjectSendStream[Frame], frame: Frame) -> None:
+    def enqueue_frame(self, box: MemoryObjectSendStream[Frame], frame: Frame) -> None:
         try:
             box.send_nowait(frame)
         except (anyio.WouldBlock, anyio.BrokenResourceError):
-            # Only frames past the one in flight come here, such as a bye to a peer
-            # that does not read. The link ends soon, by the machine's busy time.
+            # Only frames beyond the one in flight end here, such as a bye to a peer
+            # that does not read. The machine's send timeout will close the link.
             log_event("peer_outbox_full", level="DEBUG")
 
     def hang_up(self, link_id: int) -> None:
@@ -212,7 +215,7 @@
             await anyio.sleep(TICK_S)
             assert self.machine is not None, "ticks begin after the start"
             self.machine.tick(self.clock.now())
-            self.carry_out()
+            self.apply_outputs()
 
     # Links, one task each.
 
@@ -220,7 +223,7 @@
         await self.run_link(socket, None)
 
     async def dial(self, address: str) -> None:
-        """Connect to an address, and serve the link while it lasts."""
+        """Connect to an address, and run the link until it closes."""
         context = self.tls[1].context if self.tls else None
         try:
             async with connect(
@@ -231,9 +234,9 @@
                 max_queue=4,
                 compression=None,
                 ping_interval=None,
-                open_timeout=self.timing.dial_timeout,
-                close_timeout=CLOSE_S,
-                logger=QUIET,
+                open_timeout=self.timing.dial_timeout_s,
+                close_timeout=CLOSE_TIMEOUT_S,
+                logger=WEBSOCKET_LOGGER,
             ) as socket:
                 await self.run_link(socket, address)
         except (OSError, TimeoutError, WebSocketException) as error:
@@ -244,16 +247,16 @@
         if isinstance(error, ssl.SSLError):
             log_event("peer_tls_failed", level="WARNING", address=address, error=error)
         self.machine.dial_failed(address, self.clock.now())
-        self.carry_out()
+        self.apply_outputs()
 
     async def run_link(self, socket: Connection, address: str | None) -> None:
-        """Read and write a link until either end closes it."""
+        """Read from and write to a link until either end closes it."""
         assert self.machine is not None, "links begin after the start"
-        link_id = next(self.numbers)
-        send, receive = anyio.create_memory_object_stream[Frame](OUTBOX)
+        link_id = next(self.link_ids)
+        send, receive = anyio.create_memory_object_stream[Frame](OUTBOX_FRAMES)
         self.outboxes[link_id] = send
         self.machine.link_opened(link_id, address, self.clock.now())
-        self.carry_out()
+        self.apply_outputs()
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(
@@ -265,7 +268,7 @@
             self.hang_up(link_id)
             receive.close()
             self.machine.link_closed(link_id, self.clock.now())
-            self.carry_out()
+            self.apply_outputs()
 
     async def write(
         self,
@@ -274,43 +277,43 @@
         receive: MemoryObjectReceiveStream[Frame],
         scope: CancelScope,
     ) -> None:
-        """Send the link's frames one by one; close it when there are no more."""
+        """Write the link's frames one by one; close it once the outbox is closed."""
         assert self.machine is not None, "links begin after the start"
         try:
             async for frame in receive:
-                if not self.is_cut(link_id):
+                if not self.is_partitioned(link_id):
                     data = encode_frame(frame)
                     await socket.send(data)
                     self.bytes_sent += len(data)
                 self.machine.sent(link_id, self.clock.now())
-                self.carry_out()
+                self.apply_outputs()
             await socket.close()
         except ConnectionClosed:
             pass
         scope.cancel()
 
     async def read(self, link_id: int, socket: Connection) -> None:
-        """Hand the link's frames to the machine; a bad one ends the link."""
+        """Pass the link's frames to the machine; a malformed one closes the link."""
         assert self.machine is not None, "links begin after the start"
         try:
             async for data in socket:
                 await anyio.sleep(len(data) / self.settings.bytes_per_s)
                 frame = decode_frame(data if isinstance(data, bytes) else b"")
                 self.frames_read += 1
-                if self.is_cut(link_id, frame):
+                if self.is_partitioned(link_id, frame):
                     continue
                 self.machine.received(link_id, frame, self.clock.now())
-                self.carry_out()
+                self.apply_outputs()
         except ConnectionClosed as closed:
             if closed.sent is not None and not closed.rcvd_then_sent:
-                # The library ends a link by itself for what is no websocket frame, or
-                # one too large; it says so in the code that it sends.
-                self.note_bad_frame(socket, closed)
+                # The library itself closes a link on an invalid or too large websocket
+                # frame, with a close code that names the reason.
+                self.record_bad_frame(socket, closed)
         except PeerError as error:
-            self.note_bad_frame(socket, error)
+            self.record_bad_frame(socket, error)
             await socket.close(CloseCode.PROTOCOL_ERROR)
 
-    def note_bad_frame(self, socket: Connection, error: Exception) -> None:
+    def record_bad_frame(self, socket: Connection, error: Exception) -> None:
         if (
             isinstance(error, ConnectionClosed)
             and error.sent
@@ -325,12 +328,12 @@
         remote = socket.remote_address
         log_event("peer_bad_frame", level="WARNING", peer=remote, error=error)
 
-    def is_cut(self, link_id: int, frame: Frame | None = None) -> bool:
-        """Return whether the fault hook loses a frame of this link."""
-        if not self.cut_zones:
+    def is_partitioned(self, link_id: int, frame: Frame | None = None) -> bool:
+        """Return whether the fault hook drops this link's frames."""
+        if not self.partitioned_zones:
             return False
         assert self.machine is not None, "links begin after the start"
         hello = frame.hello if frame else None
         link = self.machine.links.get(link_id)
         zone = hello.place.zone if hello else link.zone if link else ""
-        return zone in self.cut_zones
+        return zone in self.partitioned_zones
--- a/src/godwitmast/peers/links.py
+++ b/src/godwitmast/peers/links.py
@@ -1,4 +1,4 @@
-"""One link of the overlay, with what is still to be sent on it."""
+"""A link of the overlay, with the records that are queued on it."""
 
 from dataclasses import dataclass, field
 
@@ -14,35 +14,34 @@
 
 @dataclass(slots=True)
 class Link:
-    """A connection to a peer, known by name once its hello came.
+    """A connection to a peer, whose `node` is set once its hello has arrived.
 
-    What is to be sent is held as keys, not as messages. A peer that reads slowly thus
-    costs no memory: news of the same key replaces what it has not been sent yet, and
-    what it gets in the end is the newest.
+    The queues hold keys, not records, so that a peer that reads slowly costs bounded
+    memory: several updates of a key are one entry, and the newest record is sent.
     """
 
     link_id: int
     address: str | None
     opened_at: float
-    heard_at: float
+    received_at: float
     sent_at: float = 0.0
     node: str | None = None
     zone: str = ""
     incarnation: int = 0
-    busy_since: float | None = None
+    sending_since: float | None = None
     urgent: dict[Key, None] = field(default_factory=dict)
-    bulk: dict[Key, None] = field(default_factory=dict)
+    deferred: dict[Key, None] = field(default_factory=dict)
     pruned: set[str] = field(default_factory=set)
     to_prune: set[str] = field(default_factory=set)
     to_graft: set[str] = field(default_factory=set)
     send_haves: bool = False
-    ask_haves: bool = False
+    request_haves: bool = False
     config_part: ConfigPart | None = None
     config_version: int = 0
     pushed_config: int = 0
-    they_want: bool = True
+    peer_wants: bool = True
     unwanted_since: float | None = None
-    differs_since: float | None = None
+    mismatch_since: float | None = None
     synced_at: float = -1e9
     beat_due: bool = False
 
@@ -50,20 +49,20 @@
     def dialled(self) -> bool:
         return self.address is not None
 
-    def mark(self, key: Key) -> None:
-        """Note that the newest record of `key` is to be sent."""
+    def enqueue(self, key: Key) -> None:
+        """Queue the newest record of `key`; a pruned origin's record is left out."""
         if RULES[key[0]].urgent:
             self.urgent[key] = None
         elif key[1] not in self.pruned:
-            self.bulk[key] = None
+            self.deferred[key] = None
 
-    def unmark(self, key: Key) -> None:
+    def dequeue(self, key: Key) -> None:
         self.urgent.pop(key, None)
-        self.bulk.pop(key, None)
+        self.deferred.pop(key, None)
 
     @property
-    def pressing(self) -> bool:
-        """Return whether something is to go out before the next flush."""
+    def has_urgent(self) -> bool:
+        """Return whether something must be sent before the next flush."""
         return bool(
             self.urgent
             or self.config_part
@@ -72,34 +71,38 @@
             or self.beat_due
         )
 
-    def take_keys(self, with_bulk: bool) -> list[Key]:
-        """Return the next keys to send, the most urgent topic first."""
+    def pop_keys(self, with_deferred: bool) -> list[Key]:
+        """Remove and return one frame's keys, the most urgent topic first."""
         keys = sorted(self.urgent, key=urgency)[:MAX_RECORDS]
-        if with_bulk:
-            keys += list(self.bulk)[: MAX_RECORDS - len(keys)]
+        if with_deferred:
+            keys += list(self.deferred)[: MAX_RECORDS - len(keys)]
         for key in keys:
-            self.unmark(key)
+            self.dequeue(key)
         return keys
 
-    def take_prunes(self) -> tuple[str, ...]:
-        return take_some(self.to_prune)
+    def pop_prunes(self) -> tuple[str, ...]:
+        return pop_names(self.to_prune)
 
-    def take_grafts(self) -> tuple[str, ...]:
-        return take_some(self.to_graft)
+    def pop_grafts(self) -> tuple[str, ...]:
+        return pop_names(self.to_graft)
 
-    def came(self, record: Record, newer: bool) -> None:
-        """Note that the peer has a record, as it has just sent it."""
+    def record_received(self, record: Record, newer: bool) -> None:
+        """Dequeue a record that the peer has just sent, and so has itself.
+
+        A periodic record that was not newer is redundant: its origin will be pruned,
+        so that each node receives an origin's records over one link only.
+        """
         key = (record.topic, record.key)
-        self.unmark(key)
+        self.dequeue(key)
         if not newer and RULES[record.topic].periodic:
             self.to_prune.add(record.key)
 
 
-def take_some(names: set[str]) -> tuple[str, ...]:
-    """Remove and return as many names as a frame may hold."""
-    taken = tuple(sorted(names)[:MAX_PRUNES])
-    names.difference_update(taken)
-    return taken
+def pop_names(names: set[str]) -> tuple[str, ...]:
+    """Remove and return as many names as fit into a frame."""
+    popped = tuple(sorted(names)[:MAX_PRUNES])
+    names.difference_update(popped)
+    return popped
 
 
 URGENCY = {
@@ -109,8 +112,8 @@
     Topic.CRASH_SUSPICION: 3,
     Topic.MEMBER: 4,
 }
-"""A withdrawn key goes before all else, also when a healed partition has hundreds of
-members to tell of."""
+"""Lower is sent first. A withdrawn key precedes all else, also when a healed partition
+has queued hundreds of members."""
 
 
 def urgency(key: Key) -> int:
--- a/src/godwitmast/peers/machine.py
+++ b/src/godwitmast/peers/machine.py
@@ -1,7 +1,7 @@
-"""The peer machine: membership, overlay and spreading, without a network.
+"""State machine of one gossip peer: membership, overlay and records, without I/O.
 
-A driver tells it what happened, with the time, and then carries out `take_outputs`.
-It is the same object in the daemon, in the tests and in the measurements.
+A driver calls it for each event, with the time, and then executes `take_outputs`. The
+daemon, the tests and the load models run the same class.
 """
 
 import random
@@ -10,7 +10,7 @@
 from godwitmast.peers.config_source import ConfigSource
 from godwitmast.peers.config_spread import ConfigSpread
 from godwitmast.peers.links import Link
-from godwitmast.peers.members import Member, MemberTable, member_of
+from godwitmast.peers.members import Member, MemberTable, parse_member
 from godwitmast.peers.messages import (
     Beat,
     Dial,
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class Counts:
-    """What the machine did, for metrics."""
+    """Counters for metrics."""
 
     suspicions: int = 0
     deaths: int = 0
@@ -53,7 +53,7 @@
 
 @dataclass
 class PeerMachine:
-    """One node's part in the overlay."""
+    """One node of the gossip overlay."""
 
     node: str
     place: Place
@@ -73,18 +73,18 @@
         self.outputs: list[Output] = []
         self.dialling: dict[str, float] = {}
         self.reach = Reach(self.place, self.random, self.timing)
-        self.spread = ConfigSpread(self.config, self.random, self.now)
+        self.config_gossip = ConfigSpread(self.config, self.random, self.now)
         self.suspects: dict[str, float] = {}
         self.neighbours: set[str] = set()
         self.overlay_stale = True
         self.leaving = False
-        self.has_news = False
-        self.ticked_at = self.dialled_at = self.now
+        self.push_due = False
+        self.ticked_at = self.neighbours_checked_at = self.now
         self.flushed_at = self.now
         self.candidate_at = self.now - 1 + self.random.random()
-        self.grafted_at = self.now
-        self.came_by: dict[str, int] = {}
-        self.epoch = self.stamp = self.incarnation
+        self.graft_requested_at = self.now
+        self.received_from: dict[str, int] = {}
+        self.started_ms = self.version_ms = self.incarnation
         self.table.put(self.me, self.now)
 
     @property
@@ -93,56 +93,56 @@
         return Member(self.node, self.place, self.incarnation, state)
 
     def take_outputs(self) -> list[Output]:
-        """Return what the driver is to do, in order."""
+        """Return and clear the outputs that the driver must execute, in order."""
         taken, self.outputs = self.outputs, []
         return taken
 
     def listed(self) -> list[Member]:
-        """Return the members that are not known to be gone, this node among them."""
+        """Return the members that are alive or suspect, including this node."""
         return self.table.listed()
 
     def zone_nodes(self) -> list[str]:
-        """Return the names of this zone's members."""
+        """Return the names of the members in this node's zone."""
         zone = self.place.zone
         return [m.node for m in self.table.listed() if m.place.zone == zone]
 
-    # What the driver tells.
+    # Events reported by the driver.
 
     def learn_addresses(self, vms: list[KnownVm], now: float) -> None:
-        """Take all addresses of settings and of the platform's list, which lags.
+        """Replace the addresses to dial, from the settings and the platform's VM list.
 
-        They are only places to try. A VM on the list is no member before it answers,
-        and a member that is not on it stays one, as the list may be minutes old.
+        The list may be minutes old, so it does not decide membership: a listed VM
+        becomes a member only when it answers, and an unlisted member stays one.
         """
-        self.reach.learn(vms)
+        self.reach.set_known_vms(vms)
 
     def link_opened(self, link_id: int, address: str | None, now: float) -> None:
-        """Take a new connection; `address` is what was dialled, None if it came in."""
+        """Register a link; `address` is the dialled one, None for an accepted link."""
         if address is not None:
             self.dialling.pop(address, None)
         if len(self.links) >= MAX_LINKS or self.leaving:
             self.outputs.append(Send(link_id, self.hello(bye=True)))
-            self.outputs.append(HangUp(link_id, "no room"))
+            self.outputs.append(HangUp(link_id, "too many links, or stopping"))
             return
         self.links[link_id] = Link(link_id, address, now, now)
         self.send(self.links[link_id], self.hello(), now)
 
     def dial_failed(self, address: str, now: float) -> None:
-        """Suspect the members that should have answered there."""
+        """Back off from the members at an address that did not answer; suspect them."""
         self.dialling.pop(address, None)
         for member in self.table.at_address(address):
             if not member.listed or member.node in self.by_node:
                 continue
-            self.leave_alone(member, now)
+            self.back_off_from(member, now)
             self.suspect(member.node, now)
 
     def link_closed(self, link_id: int, now: float) -> None:
-        """Dial a peer whose link broke; only if that fails too is it suspected."""
-        link = self.drop(link_id, now)
+        """Redial the peer of a broken link; it is suspected only if that dial fails."""
+        link = self.remove_link(link_id, now)
         if link is None or self.leaving:
             return
         if link.node is None:
-            # The far end accepts connections and then says nothing.
+            # The far end accepted the connection but never sent a hello.
             if link.address is not None:
                 self.dial_failed(link.address, now)
             return
@@ -151,39 +151,39 @@
             self.dial(member.place.address, now)
 
     def sent(self, link_id: int, now: float) -> None:
-        """Note that the link can take its next frame."""
+        """Record that a frame was written, so that the link's next one can be sent."""
         link = self.links.get(link_id)
         if link is not None:
-            link.busy_since = None
+            link.sending_since = None
             self.push(link, now, False)
 
     def received(self, link_id: int, frame: Frame, now: float) -> None:
-        """Take a frame; one that breaks the rules ends its link."""
+        """Handle a frame; a protocol violation closes its link."""
         link = self.links.get(link_id)
         if link is None:
             return
-        link.heard_at = now
-        if frame.hello and not self.greet(link, frame.hello, now):
+        link.received_at = now
+        if frame.hello and not self.accept_hello(link, frame.hello, now):
             return
         if link.node is None:
             self.hang_up(link, "no hello", now)
             return
         if frame.bye:
-            self.take_bye(link, frame, now)
+            self.handle_bye(link, frame, now)
             return
-        link.they_want = frame.beat.wanted
+        link.peer_wants = frame.beat.wanted
         link.config_version = frame.beat.config_version
         self.merge_records(link, frame.records, now)
         if frame.config:
-            self.has_news = True
-            if self.spread.take(link, frame.config):
+            self.push_due = True
+            if self.config_gossip.handle_part(link, frame.config):
                 self.config_changed(now)
         if frame.haves is not None:
-            self.compare(link, frame.haves, frame.answer_haves)
-        self.regraft(link, frame.grafted)
+            self.handle_haves(link, frame.haves, frame.answer_haves)
+        self.handle_grafts(link, frame.grafted)
         if len(link.pruned) < MAX_PRUNED:
             link.pruned.update(frame.pruned)
-        self.note_digests(link, frame.beat, now)
+        self.compare_digests(link, frame.beat, now)
         self.push_all(now)
 
     def tell(
@@ -195,22 +195,25 @@
         now: float,
         version: int | None = None,
     ) -> None:
-        """Spread a fact of this node's own; without a version it is the newest."""
-        number = self.next_stamp(now) if version is None else version
+        """Spread a record of this node for `left_s` seconds.
+
+        Without `version` it gets one that is newer than all this node's earlier ones.
+        """
+        number = self.next_version(now) if version is None else version
         record = Record(topic, key, number, left_s, value)
-        if self.records.offer(record, now):
-            self.mark(record, None)
+        if self.records.put_if_newer(record, now):
+            self.enqueue(record, None)
             self.push_all(now)
 
     def config_changed(self, now: float) -> None:
-        """Push the configuration in force to every neighbour that lacks it."""
+        """Push the configuration in force to every linked peer that lacks it."""
         for link in self.links.values():
-            self.spread.push(link)
-        self.has_news = True
+            self.config_gossip.push_deltas(link)
+        self.push_due = True
         self.push_all(now)
 
     def leave(self, now: float) -> None:
-        """Tell the neighbours that this node goes; call when it no longer serves."""
+        """Announce that this node leaves; call when it has stopped serving."""
         self.leaving = True
         self.table.put(self.me, now)
         record = self.table.record(self.node)
@@ -219,56 +222,58 @@
             if link.node is not None:
                 self.send(link, Frame(self.beat(False), (record,), bye=True), now)
 
-    def take_bye(self, link: Link, frame: Frame, now: float) -> None:
-        """End a link that its peer closes in good order, which is no cause to suspect.
+    def handle_bye(self, link: Link, frame: Frame, now: float) -> None:
+        """Close a link that its peer ended in good order, without suspecting the peer.
 
-        A peer without room for one more link is left alone for a while.
+        The peer may have no room for another link, so dialling it is backed off.
         """
-        self.drop(link.link_id, now)
+        self.remove_link(link.link_id, now)
         self.outputs.append(HangUp(link.link_id, "peer hung up"))
         self.merge_records(link, frame.records, now)
         if link.node and link.node not in self.by_node:
             member = self.table.members.get(link.node)
             if member is not None:
-                self.leave_alone(member, now)
+                self.back_off_from(member, now)
         self.push_all(now)
 
     def tick(self, now: float) -> None:
-        """Do what time has made due; call it a few times a second."""
-        if now - self.ticked_at > self.timing.pause:
-            self.forgive_pause(now)
+        """Run all timers; call it a few times a second."""
+        if now - self.ticked_at > self.timing.pause_threshold_s:
+            self.extend_deadlines(now)
         self.ticked_at = now
         if self.leaving:
             return
         self.records.expire(now)
         self.table.expire(now)
-        self.came_by = {k: v for k, v in self.came_by.items() if v in self.links}
-        self.end_silent_links(now)
-        self.end_suspicions(now)
+        self.received_from = {
+            k: v for k, v in self.received_from.items() if v in self.links
+        }
+        self.close_unresponsive_links(now)
+        self.expire_suspicions(now)
         self.dial_neighbours(now)
         self.dial_candidate(now)
-        self.drop_surplus(now)
-        self.spread.ask(self.links.values(), now)
+        self.close_unwanted_links(now)
+        self.config_gossip.request_newer(self.links.values(), now)
         self.graft_stale(now)
-        flush = now - self.flushed_at >= self.timing.flush - 1e-6
+        flush = now - self.flushed_at >= self.timing.flush_s - 1e-6
         if flush:
             self.flushed_at = now
         for link in list(self.links.values()):
-            if now - link.sent_at >= self.timing.beat - 1e-6:
+            if now - link.sent_at >= self.timing.heartbeat_s - 1e-6:
                 link.beat_due = True
             self.push(link, now, flush)
 
-    def forgive_pause(self, now: float) -> None:
-        """Give everyone their time again after this process was paused.
+    def extend_deadlines(self, now: float) -> None:
+        """Extend all deadlines after this process itself was paused.
 
-        A VM that was stopped for ten seconds finds every link silent for ten seconds
-        and, without this, would suspect all its neighbours at once, although it is
-        itself the one that was away.
+        A VM that was stopped for ten seconds has received nothing on any link for ten
+        seconds. Without the extension it would suspect all its neighbours at once,
+        although only its own process had stopped.
         """
         lost = now - self.ticked_at
         for link in self.links.values():
-            link.heard_at = now
-            link.busy_since = None if link.busy_since is None else now
+            link.received_at = now
+            link.sending_since = None if link.sending_since is None else now
         for node in self.suspects:
             self.suspects[node] += lost
         for address in self.dialling:
@@ -276,8 +281,8 @@
 
     # Membership.
 
-    def greet(self, link: Link, hello: Hello, now: float) -> bool:
-        """Take a peer's hello; return whether the link is kept."""
+    def accept_hello(self, link: Link, hello: Hello, now: float) -> bool:
+        """Register a peer by its hello; return whether the link is kept."""
         if hello.node == self.node:
             self.reach.addresses.discard(link.address or "")
             self.hang_up(link, "own address", now)
@@ -285,106 +290,114 @@
         if link.node is not None:
             self.hang_up(link, "second hello", now)
             return False
-        rival = self.by_node.get(hello.node)
-        if rival and self.rival_stays(rival, link, hello, now):
-            self.say_bye(link, "second link", now)
+        existing = self.by_node.get(hello.node)
+        if existing and self.keeps_existing(existing, link, hello, now):
+            self.send_bye(link, "second link", now)
             return False
-        if rival:
-            self.hang_up(rival, "replaced link", now)
+        if existing:
+            self.hang_up(existing, "replaced link", now)
         link.node = hello.node
         link.zone = hello.place.zone
         link.incarnation = hello.incarnation
         self.by_node[hello.node] = link
-        self.reach.reached(hello.node, hello.place.zone)
+        self.reach.record_success(hello.node, hello.place.zone)
         member = Member(hello.node, hello.place, hello.incarnation)
         self.merge_member(member, None, now)
         known = self.table.members.get(hello.node)
         if known is not None and not known.listed:
-            # It is not dead, as it speaks: it hears so, and refutes.
-            link.mark((Topic.MEMBER, hello.node))
-            self.has_news = True
+            # The peer is alive although it is recorded as dead or left: send it that
+            # record, which it refutes.
+            link.enqueue((Topic.MEMBER, hello.node))
+            self.push_due = True
         for key in self.records.periodic_keys():
             if link.zone == self.place.zone:
-                link.mark(key)
+                link.enqueue(key)
         return True
 
-    def rival_stays(self, rival: Link, link: Link, hello: Hello, now: float) -> bool:
+    def keeps_existing(
+        self, existing: Link, link: Link, hello: Hello, now: float
+    ) -> bool:
         """Return whether the older of two links to a node is kept.
 
-        Two nodes that dial each other at once must drop the same one, or both go:
-        the one that the lower name dialled stays. A link of an earlier process, or
-        one that fell silent, gives way, as its peer would not have dialled otherwise.
+        Two nodes that dial each other at once must close the same link, or they lose
+        both: the link dialled by the lower name stays. A link of an earlier process,
+        or one without frames for two heartbeats, is replaced, since the peer would
+        not have dialled while it worked.
         """
-        if rival.incarnation != hello.incarnation:
-            return rival.incarnation > hello.incarnation
-        if now - rival.heard_at > 2 * self.timing.beat:
+        if existing.incarnation != hello.incarnation:
+            return existing.incarnation > hello.incarnation
+        if now - existing.received_at > 2 * self.timing.heartbeat_s:
             return False
-        if rival.dialled == link.dialled:
+        if existing.dialled == link.dialled:
             return True
-        return rival.dialled == (self.node < hello.node)
+        return existing.dialled == (self.node < hello.node)
 
     def merge_records(
         self, link: Link, records: tuple[Record, ...], now: float
     ) -> None:
         for record in records:
             if record.topic is Topic.MEMBER:
-                self.merge_member(member_of(record), link, now)
-                link.unmark((record.topic, record.key))
+                self.merge_member(parse_member(record), link, now)
+                link.dequeue((record.topic, record.key))
                 continue
             rule = RULES[record.topic]
             if rule.zone_only and link.zone != self.place.zone:
                 continue
-            newer = self.records.offer(record, now)
-            link.came(record, newer)
+            newer = self.records.put_if_newer(record, now)
+            link.record_received(record, newer)
             if newer:
                 if rule.periodic:
-                    self.came_by[record.key] = link.link_id
-                self.mark(record, link)
+                    self.received_from[record.key] = link.link_id
+                self.enqueue(record, link)
                 self.outputs.append(RecordCame(record))
 
     def merge_member(self, member: Member, link: Link | None, now: float) -> None:
-        """Take news of a member if it overrides what is known."""
+        """Store a member's state if it is newer than the stored one, and spread it."""
         if member.node == self.node:
             self.refute(member, now)
             return
         if member.version <= self.table.version(member.node):
             return
         if member.node not in self.table.members and not member.listed:
-            # The digests leave out who is gone, so an unknown one matters to nobody.
+            # Digests leave out dead and departed members, so an unknown one of these
+            # need not be stored.
             return
         self.table.put(member, now)
         self.overlay_stale = True
         self.suspects.pop(member.node, None)
         if member.state is MemberState.SUSPECT:
-            self.suspects[member.node] = now + self.timing.suspicion
+            self.suspects[member.node] = now + self.timing.suspicion_s
         if member.state is MemberState.ALIVE:
-            self.end_predecessors(member, now)
-            self.reach.refuted(member, now)
+            self.mark_predecessors_dead(member, now)
+            self.reach.record_refutation(member, now)
         if not member.listed:
-            self.forget_gone(member, link, now)
+            self.drop_gone_member(member, link, now)
         self.outputs.append(MembersChanged(member.node, member.state))
-        self.mark_member(member.node, link)
+        self.enqueue_member(member.node, link)
 
     def refute(self, member: Member, now: float) -> None:
-        """Answer news of this node's own end, or of an earlier life of its."""
+        """Override a newer record of this node, such as a suspicion, by incarnation."""
         newer = member.incarnation > self.incarnation
         if self.leaving or not (newer or member.version > self.me.version):
             return
         self.counts.refutations += 1
         self.incarnation = member.incarnation + 1
         self.table.put(self.me, now)
-        self.mark_member(self.node, None)
+        self.enqueue_member(self.node, None)
 
-    def end_predecessors(self, member: Member, now: float) -> None:
-        """End the members that a new VM at their address has replaced."""
+    def mark_predecessors_dead(self, member: Member, now: float) -> None:
+        """Mark the members dead whose address a newer VM now uses."""
         for other in self.table.at_address(member.place.address):
             older = other.incarnation < member.incarnation
             if other.node != member.node and other.listed and older:
                 self.merge_member(other._replace(state=MemberState.DEAD), None, now)
 
-    def forget_gone(self, member: Member, link: Link | None, now: float) -> None:
-        """Drop the link to a member that is gone, unless it has just spoken on it."""
-        self.reach.reached(member.node, member.place.zone)
+    def drop_gone_member(self, member: Member, link: Link | None, now: float) -> None:
+        """Reset the backoff of a member that died or left.
+
+        The link to one that left is closed, unless the record arrived over it.
+        """
+        self.reach.record_success(member.node, member.place.zone)
         gone = self.by_node.get(member.node)
         if member.state is MemberState.LEFT and gone is not None and gone is not link:
             self.hang_up(gone, "peer left", now)
@@ -397,7 +410,7 @@
             self.merge_member(suspect, None, now)
             self.push_all(now)
 
-    def end_suspicions(self, now: float) -> None:
+    def expire_suspicions(self, now: float) -> None:
         for node in [n for n, until in self.suspects.items() if until <= now]:
             del self.suspects[node]
             member = self.table.members[node]
@@ -408,21 +421,23 @@
 
     # Links.
 
-    def end_silent_links(self, now: float) -> None:
+    def close_unresponsive_links(self, now: float) -> None:
         for link in list(self.links.values()):
-            silent = now - link.heard_at > self.timing.link_timeout
-            stuck = link.busy_since is not None
-            stuck = stuck and now - (link.busy_since or now) > self.timing.busy
+            silent = now - link.received_at > self.timing.link_timeout_s
+            stuck = link.sending_since is not None
+            stuck = (
+                stuck and now - (link.sending_since or now) > self.timing.send_timeout_s
+            )
             if not silent and not stuck:
                 continue
             self.outputs.append(HangUp(link.link_id, "silent" if silent else "slow"))
             self.link_closed(link.link_id, now)
 
     def dial_neighbours(self, now: float) -> None:
-        """Work the overlay out anew if members changed, and dial what is missing."""
-        if self.reach.some_due(self.dialled_at, now):
+        """Recompute the overlay if members changed; dial neighbours without a link."""
+        if self.reach.any_backoff_ended(self.neighbours_checked_at, now):
             self.overlay_stale = True
-        self.dialled_at = now
+        self.neighbours_checked_at = now
         if self.overlay_stale:
             self.overlay_stale = False
             self.neighbours = choose_neighbours(
@@ -433,19 +448,19 @@
             if node not in self.by_node and self.reachable(member, now):
                 self.dial(member.place.address, now)
         for address, since in list(self.dialling.items()):
-            if now - since > self.timing.dial_timeout + 1.0:
+            if now - since > self.timing.dial_timeout_s + 1.0:
                 self.dial_failed(address, now)
 
     def reachable(self, member: Member, now: float) -> bool:
-        return member.node in self.by_node or self.reach.worth_a_dial(member, now)
+        return member.node in self.by_node or self.reach.may_dial(member, now)
 
-    def leave_alone(self, member: Member, now: float) -> None:
-        """Leave a member out of the overlay for a while."""
-        self.reach.failed(member, now)
+    def back_off_from(self, member: Member, now: float) -> None:
+        """Leave an unreachable member out of the overlay until its backoff ends."""
+        self.reach.record_failure(member, now)
         self.overlay_stale = True
 
     def dial_candidate(self, now: float) -> None:
-        """Try one address a second at which no live member is known."""
+        """Dial one address a second at which no live member is known."""
         if now - self.candidate_at < 1.0:
             return
         self.candidate_at = now
@@ -459,97 +474,109 @@
             self.dialling[address] = now
             self.outputs.append(Dial(address))
 
-    def drop_surplus(self, now: float) -> None:
-        """Close links that neither end wants, once they have not been for a while."""
+    def close_unwanted_links(self, now: float) -> None:
+        """Close links that neither end has wanted for `unwanted_link_s`."""
         for link in list(self.links.values()):
-            if link.node is None or link.they_want or self.wants(link):
+            if link.node is None or link.peer_wants or self.is_neighbour(link):
                 link.unwanted_since = None
             elif link.unwanted_since is None:
                 link.unwanted_since = now
-            elif now - link.unwanted_since > self.timing.surplus and link.dialled:
-                self.say_bye(link, "surplus", now)
+            elif (
+                now - link.unwanted_since > self.timing.unwanted_link_s and link.dialled
+            ):
+                self.send_bye(link, "surplus", now)
 
-    def wants(self, link: Link) -> bool:
+    def is_neighbour(self, link: Link) -> bool:
         return link.node in self.neighbours
 
-    def say_bye(self, link: Link, reason: str, now: float) -> None:
-        """Close a link so that the peer neither dials again at once nor suspects."""
+    def send_bye(self, link: Link, reason: str, now: float) -> None:
+        """Close a link with a bye, so that the peer neither redials nor suspects."""
         self.send(link, Frame(self.beat(False), bye=True), now)
         self.hang_up(link, reason, now)
 
     def hang_up(self, link: Link, reason: str, now: float) -> None:
         self.outputs.append(HangUp(link.link_id, reason))
-        self.drop(link.link_id, now)
+        self.remove_link(link.link_id, now)
 
-    def drop(self, link_id: int, now: float) -> Link | None:
-        """Forget a link; what came by it has to come by others from now on."""
+    def remove_link(self, link_id: int, now: float) -> Link | None:
+        """Forget a link, and request what arrived over it from the other links."""
         link = self.links.pop(link_id, None)
         if link is not None and link.node and self.by_node.get(link.node) is link:
             del self.by_node[link.node]
-            self.graft({key for key, by in self.came_by.items() if by == link_id})
+            self.graft({key for key, by in self.received_from.items() if by == link_id})
         return link
 
-    # Spreading.
+    # Gossip.
 
-    def mark(self, record: Record, source: Link | None) -> None:
-        """Have a record sent on every link but the one that it came by."""
-        self.has_news = self.has_news or RULES[record.topic].urgent
+    def enqueue(self, record: Record, source: Link | None) -> None:
+        """Queue a record on every link except the one that it arrived on."""
+        self.push_due = self.push_due or RULES[record.topic].urgent
         key = (record.topic, record.key)
         zone_only = RULES[record.topic].zone_only
         for link in self.links.values():
             if link is source or link.node is None:
                 continue
             if not zone_only or link.zone == self.place.zone:
-                link.mark(key)
+                link.enqueue(key)
 
-    def mark_member(self, node: str, source: Link | None) -> None:
-        """Have news of a member sent on every link but the one that it came by.
+    def enqueue_member(self, node: str, source: Link | None) -> None:
+        """Queue a member's state on every link except the one that it arrived on.
 
-        It goes out with the next frame or tick, not at once: a zone that is cut off
-        or healed makes hundreds of news in a moment, and one frame for each on each
-        of ten links kept a node of 350 busy for a tenth of a second (500 frames).
+        It is sent with the next frame or tick, not at once: a network partition that
+        begins or heals changes hundreds of members in a moment. One frame per change
+        on each of ten links made 500 frames, and kept a node of 350 busy for 0.1 s.
         """
         for link in self.links.values():
             if link is not source and link.node is not None:
-                link.mark((Topic.MEMBER, node))
+                link.enqueue((Topic.MEMBER, node))
 
-    def next_stamp(self, now: float) -> int:
-        """Return a version above all that this node gave, apart from other nodes'.
+    def next_version(self, now: float) -> int:
+        """Return a version above all earlier ones of this node.
 
-        The clock's milliseconds come first, so that of two nodes that tell the same
-        key the later one holds, as far as their clocks agree.
+        The clock's milliseconds are its high bits, so that of two nodes that publish
+        the same key the later one wins, as far as their clocks agree. The low ten
+        bits are a hash of the node's name, to tell two nodes' versions apart.
         """
-        self.stamp = max(self.stamp + 1, self.epoch + int((now - self.now) * 1000))
-        return (self.stamp << 10) | (short_hash(self.node) & 1023)
+        self.version_ms = max(
+            self.version_ms + 1, self.started_ms + int((now - self.now) * 1000)
+        )
+        return (self.version_ms << 10) | (short_hash(self.node) & 1023)
+
+    def compare_digests(self, link: Link, beat: Beat, now: float) -> None:
+        """Start a full comparison over a new link, or one whose digests keep differing.
 
-    def note_digests(self, link: Link, beat: Beat, now: float) -> None:
-        """Compare everything with a peer whose digests differ for too long."""
+        A difference that is younger than `digest_mismatch_s` may still be in flight.
+        """
         mine = (self.table.digest, self.records.digest)
         if (beat.member_digest, beat.shared_digest) == mine:
-            link.differs_since = None
+            link.mismatch_since = None
             return
-        if link.differs_since is None:
-            link.differs_since = now
+        if link.mismatch_since is None:
+            link.mismatch_since = now
         fresh = link.synced_at < link.opened_at
-        lasting = now - link.differs_since > self.timing.differs
-        if fresh or (lasting and now - link.synced_at > self.timing.sync):
+        lasting = now - link.mismatch_since > self.timing.digest_mismatch_s
+        if fresh or (
+            lasting and now - link.synced_at > self.timing.min_sync_interval_s
+        ):
             link.synced_at = now
             link.send_haves = True
-            link.ask_haves = True
-            self.has_news = True
+            link.request_haves = True
+            self.push_due = True
             self.counts.syncs += 1
 
     def haves(self) -> tuple[Have, ...]:
-        """Return what this node has of all that digests cover."""
+        """Return the versions of all members and records that digests cover."""
         members = [
             Have(Topic.MEMBER, m.node, m.version) for m in self.table.members.values()
         ]
-        durable = [Have(r.topic, r.key, r.version) for r in self.records.durable()]
-        return tuple(members + durable)
+        digested_records = [
+            Have(r.topic, r.key, r.version) for r in self.records.digested_records()
+        ]
+        return tuple(members + digested_records)
 
-    def compare(self, link: Link, haves: tuple[Have, ...], answer: bool) -> None:
-        """Send a peer what it lacks; if it asks, tell it what this node has."""
-        self.has_news = True
+    def handle_haves(self, link: Link, haves: tuple[Have, ...], answer: bool) -> None:
+        """Queue what a peer lacks; if it asks, send it this node's versions too."""
+        self.push_due = True
         theirs = {(have.topic, have.key): have.version for have in haves}
         for have in self.haves():
             key = (have.topic, have.key)
@@ -559,32 +586,33 @@
             link.send_haves = True
 
     def graft_stale(self, now: float) -> None:
-        """Ask all neighbours in the zone for what has not been renewed in time.
+        """Request periodic records that were not renewed in time from the whole zone.
 
-        Each node has records of one origin from one neighbour only (see `Link.came`).
-        If that neighbour lost its own source without knowing, nothing more comes.
+        After pruning, a node receives the records of one origin over one link only (see
+        `Link.record_received`). If that peer lost its own source unnoticed, no more
+        records arrive until another link is grafted.
         """
-        if now - self.grafted_at < self.timing.silence:
+        if now - self.graft_requested_at < self.timing.graft_interval_s:
             return
-        stale = self.records.stale(now)
+        stale = self.records.stale_origins(now)
         if stale:
-            self.grafted_at = now
+            self.graft_requested_at = now
             self.graft(stale)
 
     def graft(self, origins: set[str]) -> None:
-        """Ask all neighbours in the zone for what comes from these origins."""
+        """Request the records of these origins from all linked peers in the zone."""
         for link in self.links.values():
             if link.zone == self.place.zone:
                 link.to_graft |= origins
                 link.to_prune -= origins
 
-    def regraft(self, link: Link, origins: tuple[str, ...]) -> None:
-        """Send a peer these origins' records again, as its other way has broken."""
+    def handle_grafts(self, link: Link, origins: tuple[str, ...]) -> None:
+        """Resume sending a peer these origins' records, as its other path broke."""
         link.pruned.difference_update(origins)
         for topic, rule in RULES.items():
             if rule.periodic and link.zone == self.place.zone:
                 for origin in origins:
-                    link.mark((topic, origin))
+                    link.enqueue((topic, origin))
 
     # Sending.
 
@@ -596,34 +624,34 @@
         return Beat(self.config.version, self.table.digest, self.records.digest, wanted)
 
     def push_all(self, now: float) -> None:
-        if not self.has_news:
+        if not self.push_due:
             return
-        self.has_news = False
+        self.push_due = False
         for link in list(self.links.values()):
             self.push(link, now, False)
 
     def push(self, link: Link, now: float, flush: bool) -> None:
-        """Send a link's next frame if it can take one and there is cause for one."""
-        if link.busy_since is not None or link.node is None:
+        """Send a link's next frame if none is being written and something is queued."""
+        if link.sending_since is not None or link.node is None:
             return
-        if not link.pressing and not (flush and (link.bulk or link.to_prune)):
+        if not link.has_urgent and not (flush and (link.deferred or link.to_prune)):
             return
-        # Any frame takes along what waits: it costs the record, not the frame.
-        keys = link.take_keys(with_bulk=True)
+        # Each frame carries the deferred records too, which saves frames of their own.
+        keys = link.pop_keys(with_deferred=True)
         found = [self.lookup(key, now) for key in keys]
         haves = self.haves() if link.send_haves else None
         frame = Frame(
-            self.beat(self.wants(link)),
+            self.beat(self.is_neighbour(link)),
             tuple(record for record in found if record is not None),
             None,
             link.config_part,
             haves,
-            link.ask_haves,
-            link.take_prunes(),
-            link.take_grafts(),
+            link.request_haves,
+            link.pop_prunes(),
+            link.pop_grafts(),
         )
         link.config_part = None
-        link.send_haves = link.ask_haves = False
+        link.send_haves = link.request_haves = False
         self.send(link, frame, now)
 
     def lookup(self, key: Key, now: float) -> Record | None:
@@ -632,7 +660,7 @@
         return self.records.get(key, now)
 
     def send(self, link: Link, frame: Frame, now: float) -> None:
-        link.busy_since = now
+        link.sending_since = now
         link.sent_at = now
         link.beat_due = False
         self.counts.frames += 1
--- a/src/godwitmast/peers/members.py
+++ b/src/godwitmast/peers/members.py
@@ -1,9 +1,9 @@
-"""Who the peers are, by SWIM's rules of which news overrides which.
+"""Table of the peers, ordered by the precedence rules of the SWIM protocol.
 
-After Das, Gupta and Motivala, "SWIM" (2002): a suspicion is spread before a death, and
-the suspect refutes it by a higher incarnation. A node's first incarnation is the wall
-clock at its start in milliseconds, so that a VM replaced under the same name counts as
-newer than the one before it, with nothing kept on disk.
+As in Das, Gupta and Motivala, "SWIM" (2002), a node is suspected before it is declared
+dead, and refutes the suspicion with a higher incarnation. Its first incarnation is the
+wall clock at its start in milliseconds, so that a VM replaced under the same name
+counts as newer than its predecessor, without anything stored on disk.
 """
 
 from typing import NamedTuple
@@ -12,15 +12,15 @@
 from godwitmast.peers.records import fingerprint
 
 TOMBSTONE_S = 600.0
-"""A dead member is kept this long, so that late news does not raise it again, and so
-that a node cut off with others can find them once the partition has healed."""
+"""How long a dead member is kept: a delayed record must not make it alive again, and
+its address is needed to reconnect both sides of a healed partition."""
 
 MAX_MEMBERS = 2048
-STATES = len(MemberState)
+STATE_COUNT = len(MemberState)
 
 
 class Member(NamedTuple):
-    """What is known of one node."""
+    """Last known state of one node."""
 
     node: str
     place: Place
@@ -29,22 +29,22 @@
 
     @property
     def version(self) -> int:
-        """Return the number by which news of this member is ordered."""
-        return self.incarnation * STATES + self.state
+        """Return the number that orders states: by incarnation, then by state."""
+        return self.incarnation * STATE_COUNT + self.state
 
     @property
     def listed(self) -> bool:
         return self.state <= MemberState.SUSPECT
 
 
-def member_of(record: Record) -> Member:
-    """Return the member that a MEMBER record tells of."""
-    incarnation, state = divmod(record.version, STATES)
+def parse_member(record: Record) -> Member:
+    """Return the member that a MEMBER record describes."""
+    incarnation, state = divmod(record.version, STATE_COUNT)
     return Member(record.key, record.value, incarnation, MemberState(state))
 
 
 class MemberTable:
-    """The members by node, with a digest of those that are alive."""
+    """Members by node, with a digest of those that are alive or suspect."""
 
     def __init__(self) -> None:
         self.members: dict[str, Member] = {}
@@ -52,20 +52,20 @@
         self.digest = 0
 
     def put(self, member: Member, now: float) -> None:
-        """Hold a member in place of what was held of its node."""
+        """Store a member's state; a new node is refused if the table is full."""
         old = self.members.get(member.node)
         if old is None and len(self.members) >= MAX_MEMBERS:
             return
         if old is not None:
-            self.toggle(old)
+            self.toggle_digest(old)
         self.members[member.node] = member
-        self.toggle(member)
+        self.toggle_digest(member)
         if member.listed:
             self.gone_at.pop(member.node, None)
         else:
             self.gone_at[member.node] = now
 
-    def toggle(self, member: Member) -> None:
+    def toggle_digest(self, member: Member) -> None:
         if member.listed:
             self.digest ^= fingerprint(Topic.MEMBER, member.node, member.incarnation)
 
--- a/src/godwitmast/peers/messages.py
+++ b/src/godwitmast/peers/messages.py
@@ -1,7 +1,7 @@
-"""What peers tell each other, and what the machine asks of its driver.
+"""Messages between peers, and the outputs of the state machine to its driver.
 
-On the wire a frame is one CBOR array, in the order of the fields below with trailing
-defaults left off. Times on the wire are seconds that are left, never clock readings,
+On the wire a frame is one CBOR array, in the order of the fields below, without
+trailing defaults. Times on the wire are remaining seconds, never clock readings,
 because no two nodes share a clock.
 """
 
@@ -14,20 +14,20 @@
 from godwitmast.types import Json
 
 MAX_RECORDS = 256
-"""Records in one frame, so that a frame with urgent news stays small."""
+"""Records per frame, so that a frame with urgent records stays small."""
 
 MAX_HAVES = 8192
 MAX_PRUNES = 1024
 
 Text = Annotated[str, Meta(max_length=128)]
-Whole = Annotated[int, Meta(ge=0, le=2**62)]
-NotNegative = Annotated[float, Meta(ge=0, le=1e18)]
+NonNegativeInt = Annotated[int, Meta(ge=0, le=2**62)]
+NonNegativeFloat = Annotated[float, Meta(ge=0, le=1e18)]
 Digest = Annotated[int, Meta(ge=0, lt=2**32)]
 TimeLeft = Annotated[float, Meta(ge=0, le=86_400)]
 
 
 class Topic(IntEnum):
-    """What a record is about; see `records.RULES` for how each is spread."""
+    """Subject of a record; `records.RULES` says how each topic is spread."""
 
     MEMBER = 0
     WITHDRAWN_KEY = 1
@@ -39,7 +39,7 @@
 
 
 class MemberState(IntEnum):
-    """States in the order in which they override each other in one incarnation."""
+    """States of a member; within an incarnation a later one overrides the earlier."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -48,7 +48,7 @@
 
 
 class Place(NamedTuple):
-    """Where a member is; the value of a MEMBER record."""
+    """Address and location of a member; the value of a MEMBER record."""
 
     address: Text
     zone: Text
@@ -56,7 +56,7 @@
 
 
 class LoadEntry(NamedTuple):
-    """The load of one backend server, which `backend_hash` names in four bytes."""
+    """Load of the backend server whose name has the 32-bit hash `backend_hash`."""
 
     backend_hash: Digest
     running: Annotated[int, Meta(ge=0, le=65_535)]
@@ -66,46 +66,46 @@
 
 
 class Record(NamedTuple):
-    """One fact; of two with the same topic and key the higher version holds."""
+    """A gossiped value; of two with the same topic and key the higher version wins."""
 
     topic: Topic
     key: Text
-    version: Whole
+    version: NonNegativeInt
     left_s: TimeLeft
     value: Json
 
 
 class Have(NamedTuple):
-    """The version of a record that the sender has."""
+    """Version of a member or record that the sender has, for a full comparison."""
 
     topic: Topic
     key: Text
-    version: Whole
+    version: NonNegativeInt
 
 
 class Beat(NamedTuple):
-    """What every frame opens with, so that each one is also a heartbeat.
+    """Heartbeat, which is part of every frame.
 
-    The digests are equal on two nodes that have the same members and the same shared
-    records; `wanted` says that the sender wants to keep the link.
+    The digests are equal on two nodes that have the same members and the same records
+    that are not periodic; `wanted` says that the sender wants to keep the link.
     """
 
-    config_version: Whole
+    config_version: NonNegativeInt
     member_digest: Digest
     shared_digest: Digest
     wanted: bool = True
 
 
 class Hello(NamedTuple):
-    """The first frame of a link says who sends it."""
+    """Identity of the sender, in the first frame of a link."""
 
     node: Text
-    incarnation: Whole
+    incarnation: NonNegativeInt
     place: Place
 
 
 class ConfigKind(IntEnum):
-    """What a frame says of the configuration."""
+    """Kind of a `ConfigPart`: a request, deltas, or a whole snapshot."""
 
     WANT = 0
     DELTAS = 1
@@ -113,11 +113,11 @@
 
 
 class ConfigPart(NamedTuple):
-    """A request for what came after version `after`, or the answer to one."""
+    """A request for what changed after version `after`, or that change itself."""
 
     kind: ConfigKind
-    after: Whole
-    number: Whole = 0
+    after: NonNegativeInt
+    number: NonNegativeInt = 0
     payload: Json = None
 
 
@@ -136,7 +136,7 @@
 
 
 class KnownVm(NamedTuple):
-    """An address that may be a peer's, from settings or the platform's list."""
+    """A possible peer's address, from the settings or the platform's list."""
 
     address: str
     node: str | None = None
@@ -144,7 +144,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Write a frame to a link, and then call `sent`."""
+    """Asks the driver to write a frame to a link, then call `sent`."""
 
     link_id: int
     frame: Frame
@@ -152,14 +152,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Dial:
-    """Connect to an address, and then call `link_opened` or `dial_failed`."""
+    """Asks the driver to connect, then call `link_opened` or `dial_failed`."""
 
     address: str
 
 
 @dataclass(frozen=True, slots=True)
 class HangUp:
-    """Close a link; `link_closed` need not be called for it."""
+    """Asks the driver to close a link; it need not call `link_closed` for it."""
 
     link_id: int
     reason: str
@@ -167,14 +167,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordCame:
-    """A record that is newer than the one held; the application is to take it."""
+    """Passes a record that is newer than the stored one to the application."""
 
     record: Record
 
 
 @dataclass(frozen=True, slots=True)
 class MembersChanged:
-    """A member came, was suspected, died, left, or refuted."""
+    """Reports a member that joined, was suspected, died, left, or refuted."""
 
     node: str
     state: MemberState
--- a/src/godwitmast/peers/records.py
+++ b/src/godwitmast/peers/records.py
@@ -1,4 +1,4 @@
-"""The records that a node holds, bounded, with the higher version winning."""
+"""Bounded store of the gossiped records; the higher version of a key wins."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -13,9 +13,9 @@
 class Rule(NamedTuple):
     """How the records of a topic are spread.
 
-    `urgent` goes out at once, the rest with the next flush. `periodic` is told again
-    and again by one node, its key; it is left out of digests, since the next telling
-    repairs a lost one. `zone_only` never leaves the availability zone.
+    `urgent` records are sent at once, others with the next flush. `periodic` ones are
+    renewed by one node, whose name is their key, and left out of digests, since the
+    next renewal repairs a loss. `zone_only` ones never leave the availability zone.
     """
 
     urgent: bool
@@ -35,8 +35,8 @@
 }
 
 
-class Held(NamedTuple):
-    """A record with the moment at which it expires here."""
+class StoredRecord(NamedTuple):
+    """A record with the time at which it expires, by this node's clock."""
 
     record: Record
     expires_at: float
@@ -47,48 +47,47 @@
 
 
 class RecordStore:
-    """Every record but those of members; each topic holds a bounded number."""
+    """All records except those of members, bounded in number by topic."""
 
     def __init__(self) -> None:
-        self.held: dict[Topic, dict[str, Held]] = {topic: {} for topic in Topic}
+        self.held: dict[Topic, dict[str, StoredRecord]] = {topic: {} for topic in Topic}
         self.digest = 0
         self.dropped = 0
 
-    def offer(self, record: Record, now: float) -> bool:
-        """Take a record, and return whether it is newer than what was held."""
+    def put_if_newer(self, record: Record, now: float) -> bool:
+        """Store a record if it is newer than the stored one; return whether it was."""
         if record.left_s <= 0:
             return False
-        shelf = self.held[record.topic]
-        old = shelf.get(record.key)
+        by_key = self.held[record.topic]
+        old = by_key.get(record.key)
         if old is not None:
             if record.version <= old.record.version:
                 return False
             self.remove(record.topic, record.key)
-        elif len(shelf) >= RULES[record.topic].max_keys:
-            # A flood of keys must not push out what is already known: those are
-            # dropped first that would have expired soonest.
-            soonest = min(shelf, key=lambda key: shelf[key].expires_at)
+        elif len(by_key) >= RULES[record.topic].max_keys:
+            # A flood of keys must not evict what is already known, so the record that
+            # expires soonest is evicted, or the new one refused.
+            soonest = min(by_key, key=lambda key: by_key[key].expires_at)
             self.dropped += 1
-            if shelf[soonest].expires_at >= now + record.left_s:
+            if by_key[soonest].expires_at >= now + record.left_s:
                 return False
             self.remove(record.topic, soonest)
-        shelf[record.key] = Held(record, now + record.left_s)
-        self.toggle(record)
+        by_key[record.key] = StoredRecord(record, now + record.left_s)
+        self.toggle_digest(record)
         return True
 
     def remove(self, topic: Topic, key: str) -> None:
-        self.toggle(self.held[topic].pop(key).record)
+        self.toggle_digest(self.held[topic].pop(key).record)
 
-    def toggle(self, record: Record) -> None:
+    def toggle_digest(self, record: Record) -> None:
         if not RULES[record.topic].periodic:
             self.digest ^= fingerprint(record.topic, record.key, record.version)
 
     def get(self, key: Key, now: float) -> Record | None:
-        """Return the record as it is to be sent now.
+        """Return the record with the seconds that it has left, or None if it expired.
 
-        Its time is cut to whole seconds, which take a byte or two where a float takes
-        nine. Cut and never rounded up: two nodes that told each other of a record
-        would else keep it for ever.
+        Whole seconds take one or two bytes on the wire, a float nine. They are rounded
+        down: rounded up, two nodes would renew a record on each other for ever.
         """
         held = self.held[key[0]].get(key[1])
         if held is None or held.expires_at <= now:
@@ -99,21 +98,21 @@
         held = self.held[key[0]].get(key[1])
         return held.record.version if held else -1
 
-    def durable(self) -> Iterator[Record]:
-        """Yield the records that digests cover."""
-        for topic, shelf in self.held.items():
+    def digested_records(self) -> Iterator[Record]:
+        """Yield the records that digests cover, which are the ones not periodic."""
+        for topic, by_key in self.held.items():
             if not RULES[topic].periodic:
-                for held in shelf.values():
+                for held in by_key.values():
                     yield held.record
 
     def periodic_keys(self) -> Iterator[Key]:
-        for topic, shelf in self.held.items():
+        for topic, by_key in self.held.items():
             if RULES[topic].periodic:
-                for key in shelf:
+                for key in by_key:
                     yield topic, key
 
-    def stale(self, now: float) -> set[str]:
-        """Return the origins of periodic records that used up half of their time."""
+    def stale_origins(self, now: float) -> set[str]:
+        """Return the origins of periodic records that are past half their lifetime."""
         return {
             key
             for topic, key in self.periodic_keys()
@@ -122,6 +121,6 @@
         }
 
     def expire(self, now: float) -> None:
-        for topic, shelf in self.held.items():
-            for key in [k for k, held in shelf.items() if held.expires_at <= now]:
+        for topic, by_key in self.held.items():
+            for key in [k for k, held in by_key.items() if held.expires_at <= now]:
                 self.remove(topic, key)
--- a/src/godwitmast/peers/rendezvous.py
+++ b/src/godwitmast/peers/rendezvous.py
@@ -1,4 +1,4 @@
-"""Choices that every node makes alike without asking: rings and pollers."""
+"""Hash-based choices that every node makes alike, without messages: rings, pollers."""
 
 from collections.abc import Iterable
 from functools import lru_cache
@@ -8,19 +8,20 @@
 
 @lru_cache(maxsize=65_536)
 def weight(scope: str, name: str) -> int:
-    """Return a number that is the same on every node for the same names."""
+    """Return the 64-bit hash of a name in a scope, the same on every node."""
     return xxhash.xxh64_intdigest(f"{scope}\0{name}".encode())
 
 
 def short_hash(name: str) -> int:
-    """Return four bytes for a name, to be looked up in a configuration."""
+    """Return a 32-bit hash that stands for a name on the wire."""
     return xxhash.xxh32_intdigest(name.encode())
 
 
 def choose_pollers(subject: str, nodes: Iterable[str], count: int = 2) -> list[str]:
-    """Return the nodes that poll `subject`, the first of them the teller.
+    """Return the nodes that poll `subject`, by rank; the first one publishes its load.
 
-    Highest random weight (Thaler and Ravishankar, 1998): when a node goes, only what
-    it polled moves, and every node that has the same members agrees without a word.
+    Rendezvous hashing, or highest random weight (Thaler and Ravishankar, 1998): when a
+    node fails only the subjects that it polled move, and every node with the same
+    member list makes the same choice without messages.
     """
     return sorted(nodes, key=lambda node: weight(subject, node), reverse=True)[:count]
--- a/src/godwitmast/peers/settings.py
+++ b/src/godwitmast/peers/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a node's links to its peers."""
+"""Settings of a node's peer links."""
 
 import ipaddress
 from typing import Annotated, Literal, NamedTuple
@@ -12,9 +12,10 @@
 class PeerSettings(NamedTuple):
     """Where a node listens for peers, and how it finds the first of them.
 
-    `tls` names the files of mutual TLS, or is "off", which only a loopback address
-    allows. `advertise` is the host that peers dial, where it is not `listen.host`.
-    `fault_hook` lets tests cut links over the entry's own port; never set it else.
+    `tls` names the files of mutual TLS, or is "off", which is allowed with a loopback
+    address only. `advertise` is the host that peers dial if it is not `listen.host`.
+    `fault_hook` lets tests partition zones through the entry's own port; leave it off
+    in production.
     """
 
     tls: MutualTlsFiles | Literal["off"]
@@ -22,12 +23,12 @@
     advertise: str | None = None
     seeds: list[str] = []
     bytes_per_s: Annotated[int, Field(gt=0)] = 4 * 1024 * 1024
-    """What one peer may send; more is read later, which slows the sender down."""
+    """Rate at which one peer's frames are read; backpressure slows a faster sender."""
     fault_hook: bool = False
 
 
-def check_plain(settings: PeerSettings) -> PeerSettings:
-    """Refuse plain links anywhere but on loopback."""
+def check_tls_off(settings: PeerSettings) -> PeerSettings:
+    """Return the settings, or raise ValueError for plain links beyond loopback."""
     if settings.tls == "off":
         try:
             loopback = ipaddress.ip_address(settings.listen.host).is_loopback
@@ -39,4 +40,4 @@
     return settings
 
 
-CheckedPeerSettings = Annotated[PeerSettings, AfterValidator(check_plain)]
+CheckedPeerSettings = Annotated[PeerSettings, AfterValidator(check_tls_off)]
--- a/tests/test_peers_codec.py
+++ b/tests/test_peers_codec.py
@@ -1,4 +1,4 @@
-"""What comes from a peer is checked before anything acts on it."""
+"""Frames from a peer are validated before anything acts on them."""
 
 import cbor2
 import pytest
@@ -64,7 +64,7 @@
 
 
 def decode_or_refuse(data: bytes) -> None:
-    """Decode what may be junk; whatever comes out is a frame that can be sent on."""
+    """Decode data that may be invalid; a decoded frame must encode again."""
     try:
         frame = decode_frame(data)
     except PeerError:
--- a/tests/test_peers_entries.py
+++ b/tests/test_peers_entries.py
@@ -1,4 +1,4 @@
-"""Entries as peers of each other, over real sockets."""
+"""Entries that gossip with each other over real sockets."""
 
 from collections.abc import AsyncIterator
 from contextlib import AsyncExitStack, asynccontextmanager
@@ -25,7 +25,7 @@
 
 pytestmark = pytest.mark.anyio
 
-NOWHERE = PlatformSettings("http://127.0.0.1:9", 0.2)
+UNREACHABLE = PlatformSettings("http://127.0.0.1:9", 0.2)
 
 
 def put_config(platform: StandinPlatform, number: int) -> None:
@@ -49,25 +49,27 @@
 
 @asynccontextmanager
 async def started(*names: str) -> AsyncIterator[tuple[StandinPlatform, list[Entry]]]:
-    """Run a platform that the first entry can reach, and the others cannot."""
+    """Run a platform that only the first entry can reach."""
     async with AsyncExitStack() as stack:
         platform = StandinPlatform(PlatformStandinSettings())
         await stack.enter_async_context(running(platform))
         put_config(platform, 1)
         entries: list[Entry] = []
         for name in names:
-            where = NOWHERE if entries else PlatformSettings(platform.server.url)
+            platform_settings = (
+                UNREACHABLE if entries else PlatformSettings(platform.server.url)
+            )
             seeds = [entry.peering.driver.address for entry in entries[:1]]
-            entry = make_entry(name, where, seeds)
+            entry = make_entry(name, platform_settings, seeds)
             entries.append(await stack.enter_async_context(running(entry)))
         yield platform, entries
 
 
 async def test_configuration_reaches_an_entry_that_has_no_platform() -> None:
-    """A node that starts in a cut-off zone is not ready until a peer has told it.
+    """A node that starts without the platform is ready once a peer sent it the config.
 
-    The second entry never reaches the table. It takes the configuration from the
-    first when it joins, and the next one as soon as the first has it.
+    The second entry never reaches the table. It gets the configuration from the first
+    when it joins, and the next version as soon as the first has it.
     """
     async with started("a-1", "b-1") as (platform, (first, second)):
         with anyio.fail_after(10):
@@ -80,7 +82,8 @@
 
 
 async def test_soft_state_reaches_the_entries_of_the_zone() -> None:
-    """One entry learns something; the other acts on it without a request of its own."""
+    """Quarantines, leaving servers and service sums that one entry records reach the
+    other, which has served no request of its own."""
     async with started("a-1", "a-2") as (platform, (first, second)):
         with anyio.fail_after(10):
             await second.follower.ready.wait()
@@ -135,13 +138,15 @@
     async with started("a-1", "a-2") as (platform, (first, second)):
         backends = {"s1": Backend("http://127.0.0.1:9", "a", frozenset())}
         first.driver.backends = second.driver.backends = backends
-        came = []
-        second.driver.load_reported = lambda name, report: came.append((name, report))
+        reports = []
+        second.driver.load_reported = lambda name, report: reports.append(
+            (name, report)
+        )
         with anyio.fail_after(10):
-            while not came:
+            while not reports:
                 first.peering.load.polled("s1", LoadReport(3, 4, 100.0, 0.5))
                 first.peering.load.heard = {}
                 await anyio.sleep(0.5)
-        name, report = came[0]
+        name, report = reports[0]
         assert name == "s1"
         assert (report.running, report.waiting, report.tokens_per_s) == (3, 4, 100)
--- a/tests/test_peers_machine.py
+++ b/tests/test_peers_machine.py
@@ -1,4 +1,4 @@
-"""The peer machine in virtual time, over a network that loses and reorders frames."""
+"""`PeerMachine` in virtual time, over a network that loses and reorders frames."""
 
 import random
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 def build(
     count: int, zones: int, weather: Weather = Weather(), seed: int = 1
 ) -> FakeNetwork:
-    """Return a system that runs, of which each node knows all."""
+    """Return a running network in which each node knows all others."""
     network = FakeNetwork(seed, weather)
     for number in range(count):
         zone = number % zones
@@ -56,7 +56,7 @@
 
 
 def agreed(network: FakeNetwork) -> bool:
-    """Return whether all live nodes list just each other and hold the same."""
+    """Return whether all live nodes have the same members, records and configuration."""
     live = network.live()
     newest = max(fake.config.version for fake in live)
     return (
@@ -74,17 +74,17 @@
 
 
 def cut_off(*zones: str) -> Cut:
-    """Return a cut of everything between these zones and the others."""
+    """Return a partition between these zones and all others."""
     return lambda source, target: (source.zone in zones) != (target.zone in zones)
 
 
-def one_way(lost: set[tuple[str, str]]) -> Cut:
-    """Return a cut of what goes from the first to the second zone of each pair."""
+def cut_one_way(lost: set[tuple[str, str]]) -> Cut:
+    """Return a partition of each pair's direction from the first to the second zone."""
     return lambda source, target: (source.zone, target.zone) in lost
 
 
 class Trouble:
-    """Plays one event after another on a network, checking versions as it goes."""
+    """Injects faults into a network one by one, and checks versions after each."""
 
     def __init__(self, network: FakeNetwork, zones: int, seed: int) -> None:
         self.network = network
@@ -112,7 +112,7 @@
             case "record":
                 tell(network, fake, Topic.LEAVING_BACKEND, f"backend-{pick % 5}")
             case "cut":
-                network.cut = one_way(self.some_pairs())
+                network.cut = cut_one_way(self.choose_zone_pairs())
             case "heal":
                 network.cut = whole
         network.run(wait)
@@ -123,15 +123,15 @@
         known = [KnownVm(address) for address in self.network.nodes]
         fake.machine.learn_addresses(known, self.network.now)
 
-    def some_pairs(self) -> set[tuple[str, str]]:
-        """Return links between zones to cut, some of them in one direction only."""
+    def choose_zone_pairs(self) -> set[tuple[str, str]]:
+        """Return random pairs of zones to partition, some in one direction only."""
         pairs = list(combinations([f"z{n}" for n in range(self.zones)], 2))
         chosen = self.random.sample(pairs, k=self.random.randint(0, len(pairs)))
         back = [(b, a) for a, b in chosen if self.random.random() < 0.7]
         return {*chosen, *back}
 
     def check_versions(self) -> None:
-        """A configuration that was in force is never replaced by an older one."""
+        """Assert that no configuration in force was replaced by an older one."""
         for fake in self.network.live():
             assert fake.config.version >= self.seen.get(id(fake), 0)
             self.seen[id(fake)] = fake.config.version
@@ -180,7 +180,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_fifty_nodes_converge_after_a_minute_of_trouble(seed: int) -> None:
-    """The same troubles as above, one after another, in a system of fifty nodes."""
+    """The same faults as above, one after another, among fifty nodes."""
     network = build(50, 7, Weather(0.02, 0.1, jitter_s=0.05), seed)
     trouble = Trouble(network, 7, seed)
     choose = random.Random(seed)
@@ -206,7 +206,7 @@
 def test_dead_node_is_off_every_list_and_no_live_one_is(
     how: str, count: int, zones: int
 ) -> None:
-    """One process dies, with its connections reset or with its VM and in silence."""
+    """One process dies: its connections are reset, or its VM is lost without a reset."""
     network = build(count, zones)
     getattr(network, how)("n4:1")
     network.run_until(lambda: agreed(network), DEAD_WITHIN_S)
@@ -225,11 +225,11 @@
 def test_zone_that_was_cut_off_has_everything_within_five_seconds_of_healing(
     count: int, zones: int
 ) -> None:
-    """A zone is cut off for a minute, long enough that each side drops the other.
+    """A zone is partitioned for a minute, so that each side declares the other dead.
 
-    Meanwhile a configuration is accepted outside and a server begins to leave; inside,
-    a request is put in quarantine. After healing both sides have all three. At 350
-    nodes `godwit-load peers` measures the same.
+    Meanwhile a configuration is accepted outside, and a record is published on either
+    side. After healing both sides have all three. `godwit-load peers` plays the same
+    with 350 nodes.
     """
     network = build(count, zones)
     network.cut = cut_off("z0")
@@ -246,13 +246,14 @@
 
 
 def test_zones_that_cannot_reach_each_other_agree_by_way_of_a_third() -> None:
-    """Two zones lose the links between them, one of them in one direction only.
+    """Two zones are partitioned from each other in one direction.
 
-    Each node finds that its dials fail and suspects whom it cannot reach; the suspects
-    hear so by way of the third zone and refute. No one is dropped, and news crosses.
+    Nodes whose dials fail suspect the members that they cannot reach; these receive
+    the suspicion over the third zone and refute it. No member is removed, and a
+    configuration still reaches all.
     """
     network = build(50, 3)
-    network.cut = one_way({("z0", "z1")})
+    network.cut = cut_one_way({("z0", "z1")})
     for _ in range(60):
         network.run(1)
         assert all_list_each_other(network)
@@ -261,10 +262,10 @@
 
 
 def test_paused_node_is_dropped_and_comes_back_without_suspecting_others() -> None:
-    """A VM is stopped for 20 s and goes on as if nothing had been.
+    """A VM is paused for 20 s and its peers declare it dead.
 
-    Its peers drop it. When it goes on it finds all links silent for 20 s, which is its
-    own doing: it must not suspect its neighbours, and it must be listed again.
+    When it resumes it has received nothing on any link for 20 s, because it was itself
+    paused: it must not suspect its neighbours, and must be listed again.
     """
     network = build(9, 3)
     network.pause("n4:1", 20)
@@ -284,10 +285,10 @@
 
 
 def test_new_node_at_the_address_of_a_dead_one_takes_its_place() -> None:
-    """A VM dies and its address goes to a new one at once.
+    """A VM dies and its address is reused by a new one at once.
 
-    A dial to the address succeeds, so the old node would never be found dead by
-    dialling: the new one's hello ends it.
+    Dials to the address succeed, so the old node would never be suspected; the new
+    one's hello marks it dead.
     """
     network = build(9, 3)
     new = network.add("new", "z1", address="n4:1")
@@ -297,7 +298,7 @@
 
 
 def test_addresses_that_the_platform_lists_no_more_are_not_tried() -> None:
-    """VMs are replaced for days; only the addresses of the newest list are kept."""
+    """VMs are replaced for days; only the newest list's addresses are kept."""
     network = build(2, 1)
     machine = network.nodes["n0:1"].machine
     for number in range(2000):
@@ -331,16 +332,16 @@
     assert {fake.config.version for fake in network.live()} == {7}
 
 
-def lone_link() -> tuple[PeerMachine, FakeNetwork]:
-    """Return a node with one link to a peer that has stopped reading."""
+def blocked_link() -> tuple[PeerMachine, FakeNetwork]:
+    """Return a node with one link, whose peer has stopped reading."""
     network = build(2, 1)
     machine = network.nodes["n0:1"].machine
-    machine.by_node["n1"].busy_since = network.now
+    machine.by_node["n1"].sending_since = network.now
     return machine, network
 
 
 def test_slow_peer_costs_bounded_memory_and_gets_the_newest() -> None:
-    machine, network = lone_link()
+    machine, network = blocked_link()
     link = machine.by_node["n1"]
     for number in range(10_000):
         key = f"backend-{number % 7}"
@@ -356,15 +357,15 @@
 
 
 def test_peer_that_never_reads_again_loses_its_link() -> None:
-    machine, network = lone_link()
-    machine.links[machine.by_node["n1"].link_id].heard_at = network.now + 60
+    machine, network = blocked_link()
+    machine.links[machine.by_node["n1"].link_id].received_at = network.now + 60
     machine.ticked_at = network.now + 9
     machine.tick(network.now + 9)
     assert any(isinstance(output, HangUp) for output in machine.take_outputs())
 
 
 def test_withdrawn_keys_go_before_all_else() -> None:
-    machine, network = lone_link()
+    machine, network = blocked_link()
     link = machine.by_node["n1"]
     for number in range(2000):
         machine.tell(Topic.QUARANTINE, f"f{number}", {}, 60, network.now)
--- a/tests/test_peers_processes.py
+++ b/tests/test_peers_processes.py
@@ -1,4 +1,4 @@
-"""Entries as real processes, one per zone, each at a loopback address of its own."""
+"""Entries as separate processes, one per zone, each with its own loopback address."""
 
 import json
 from collections.abc import AsyncIterator, Callable
@@ -20,14 +20,14 @@
 ZONES = ("a", "b", "c")
 BEARER = {"Authorization": f"Bearer {dev_key('arima')}"}
 WAIT_S = 40
-"""Generous: the bounds in seconds are asserted in virtual time."""
+"""Long, since test_peers_machine.py asserts the bounds in seconds in virtual time."""
 
-NOWHERE = "http://127.0.0.1:9"
+UNREACHABLE = "http://127.0.0.1:9"
 
 
 @dataclass
 class Fleet:
-    """The outside systems in this process, and entries in their own."""
+    """The stand-ins in this process, and the entries in processes of their own."""
 
     processes: Processes
     system: DevSystem
@@ -39,7 +39,7 @@
         return f"127.0.1.{ZONES.index(zone) + 1}:{self.ports[zone]}"
 
     def spawn(self, zone: str, platform: str | None = None) -> None:
-        """Start the entry of a zone, at the address that it had before."""
+        """Start the entry of a zone, always at the same address."""
         self.ports.setdefault(zone, free_port())
         host, port = self.address(zone).split(":")
         seeds = json.dumps([self.address(z) for z in self.ports if z != zone])
@@ -54,7 +54,7 @@
         )
 
     async def status(self, zone: str) -> dict:
-        """Return what an entry says of itself, or nothing if it does not answer."""
+        """Return an entry's readiness answer, or an empty one if it does not answer."""
         url = self.entries[zone].known_url
         try:
             answer = await self.http.get(f"{url}/readyz", timeout=1) if url else None
@@ -63,7 +63,7 @@
             return {}
 
     async def until(self, done: Callable[[dict[str, dict]], bool]) -> None:
-        """Wait until what all entries say of themselves is `done`."""
+        """Wait until `done` holds for the readiness answers of all entries."""
         seen: dict[str, dict] = {}
         with anyio.move_on_after(WAIT_S):
             while True:
@@ -82,7 +82,7 @@
         await self.until(lambda s: all(s[z].get("config") == number for z in zones))
 
     async def cut(self, cuts: dict[str, list[str]]) -> None:
-        """Lose what goes between a zone and others, at the entry of that zone."""
+        """Drop frames between a zone and others, at the entry of that zone."""
         for zone, others in cuts.items():
             url = f"{self.entries[zone].url}/_peers/cut"
             assert (await self.http.post(url, json=others)).status_code == 200
@@ -93,11 +93,11 @@
         return self.system.platform.put_config(document)
 
     async def stream(self, zone: str, length: int = 10) -> None:
-        """Send a request to a zone's entry; its answer must be whole."""
+        """Send a request to a zone's entry, and assert that its answer is complete."""
         await self.stream_from(self.entries[zone].url, length)
 
     async def stream_from(self, base: str, length: int) -> None:
-        """Send a request to the entry at an address; its answer must be whole."""
+        """Send a request to an address, and assert that its answer is complete."""
         url = f"{base}/v1/chat/completions"
         answer = await self.http.post(url, headers=BEARER, json=streamed(length))
         assert answer.status_code == 200, answer.text
@@ -114,16 +114,16 @@
 async def test_zone_cut_off_from_all_serves_on_and_catches_up(
     processes: Processes,
 ) -> None:
-    """Zone c has never reached the platform, and is then cut off from the others too.
+    """Zone c never reaches the platform, and is then partitioned from the others too.
 
-    It started with what its peers told it. While it is cut off, a new configuration
-    comes into force elsewhere; c serves on under the old one. Each side drops the
-    other. When the links heal, all list each other again and c has the new one.
+    It started with the configuration of its peers. During the partition a new one comes
+    into force elsewhere, c serves under the old one, and each side declares the other
+    dead. After healing all list each other again and c has the new one.
     """
     async with make_fleet(processes) as fleet:
         for zone in "ab":
             fleet.spawn(zone)
-        fleet.spawn("c", platform=NOWHERE)
+        fleet.spawn("c", platform=UNREACHABLE)
         await fleet.until_peers("abc", "abc")
         await fleet.until_config("abc", 1)
         await fleet.cut({"a": ["c"], "b": ["c"], "c": ["a", "b"]})
@@ -142,7 +142,7 @@
 async def test_killed_and_paused_entries_are_dropped_and_come_back(
     processes: Processes,
 ) -> None:
-    """One entry is killed and started again at its address; another one is paused."""
+    """One entry is killed and restarted at its address; another one is paused."""
     async with make_fleet(processes) as fleet:
         for zone in ZONES:
             fleet.spawn(zone)
@@ -161,10 +161,10 @@
 
 @dataclass
 class Balancer:
-    """Sends each request to an entry that said lately that it is ready.
+    """Sends each request to an entry that was ready at its last check.
 
-    Entries are known by address: a new entry of a zone is not ready because the one
-    before it was.
+    Entries are identified by address, so that a new entry of a zone does not inherit
+    the readiness of its predecessor.
     """
 
     fleet: Fleet
@@ -177,11 +177,11 @@
     async def watch(self) -> None:
         while not self.stopping:
             seen = [await self.fleet.status(zone) for zone in ZONES]
-            self.ready = [said["url"] for said in seen if said.get("ready")]
+            self.ready = [status["url"] for status in seen if status.get("ready")]
             await anyio.sleep(0.1)
 
     async def send(self, start: int) -> None:
-        """Send one stream after the other, each over a connection of its own."""
+        """Send one streamed request after the other, each over its own connection."""
         turn = start
         while not self.stopping:
             turn += 1
@@ -197,8 +197,8 @@
 async def test_rolling_replacement_cuts_no_request(processes: Processes) -> None:
     """Every entry is replaced, one after the other, while callers stream.
 
-    Each is told to stop, goes on serving while the balancer still sends, ends what
-    runs, and exits; a new process takes its place. No caller notices.
+    Each gets a signal to stop, keeps serving while the balancer still sends, finishes
+    its open requests and exits before a new process starts. No request may fail.
     """
     async with make_fleet(processes) as fleet:
         fleet.http.headers["Connection"] = "close"
--- a/tests/test_peers_tls.py
+++ b/tests/test_peers_tls.py
@@ -1,4 +1,4 @@
-"""Links between peers: who gets in, and what a stranger or a broken peer can do."""
+"""Peer links: mutual TLS, and the effects of malformed frames and fast senders."""
 
 import ssl
 from collections.abc import Callable, Iterator
@@ -82,7 +82,7 @@
 async def test_certificate_that_was_replaced_is_used_without_a_restart(
     tmp_path: Path,
 ) -> None:
-    """An operator replaces certificate and key, for a moment one without the other."""
+    """An operator replaces certificate and key; for a moment the two do not match."""
     ca = trustme.CA()
     files = write_files(tmp_path, "one", ca)
     context = server_tls(TlsFiles(files.certificate, files.private_key))
@@ -137,7 +137,7 @@
 
 @pytest.fixture
 def log_lines() -> Iterator[list[str]]:
-    """Collect what is logged."""
+    """Collect the log lines."""
     lines: list[str] = []
     sink = logger.add(lines.append, format="{message}")
     yield lines
@@ -155,7 +155,7 @@
 async def test_malformed_frame_ends_its_link_and_no_other(
     bad: bytes | str, log_lines: list[str]
 ) -> None:
-    """A peer goes wrong after its hello; the node keeps serving its other peers."""
+    """A peer sends a malformed frame after its hello; other links must stay open."""
     one, two = make_driver("one", "off", version=5), make_driver("two", "off")
     async with running(one), running(two):
         two.learn([KnownVm(one.address)])
