--- a/src/godwitmast/lease/__init__.py
+++ b/src/godwitmast/lease/__init__.py
@@ -1,1 +1,1 @@
-"""Leases with fencing over the platform's table, without trusted clocks."""
+"""Leases with fencing tokens in the platform's table, without trusted clocks."""
--- a/src/godwitmast/lease/driver.py
+++ b/src/godwitmast/lease/driver.py
@@ -1,4 +1,4 @@
-"""Contends for a lease over HTTP, and runs a duty for as long as it is held."""
+"""Driver of `LeaseMachine`: contends for a lease, and runs a duty while it is held."""
 
 import secrets
 from collections.abc import Callable, Sequence
@@ -15,29 +15,29 @@
 from godwitmast.platform_api.runner import take_step
 
 POLL_S = 0.1
-POLL_IDLE_S = 0.5
-"""Of one that neither holds the lease nor has a step that is due sooner."""
+IDLE_POLL_S = 0.5
+"""Poll interval without the lease, unless a step is due sooner."""
 
 RELEASE_TIMEOUT_S = 3.0
 
 
 class Duty(Protocol):
-    """Work that one process at a time does, under a lease of its own name."""
+    """Work that one process at a time does, under a lease of the duty's name."""
 
     name: str
 
     async def run(self, guard: Guard) -> None:
-        """Work until cancelled; called anew each time that the lease is gained.
+        """Work until cancelled; called each time that the lease is gained.
 
-        Ask `guard.fence_if_held` in the last step before each order, and put
-        `guard.checks` among the checks of each transaction. Being cancelled is the
-        rule, not the protection: a paused process is not cancelled until it wakes.
+        Call `guard.fence_if_held` right before each order, and add `guard.checks` to
+        the checks of each transaction. Cancellation alone does not protect: a paused
+        process is cancelled only after it resumes.
         """
 
 
 @dataclass
 class DutyGroup:
-    """Several duties under one lease: one renewal and one watch pay for all of them."""
+    """Several duties under one lease, which share its renewals and reads."""
 
     name: str
     duties: Sequence[Duty]
@@ -51,8 +51,8 @@
 class LeaseDriver:
     """One lease and its duty.
 
-    While `spared` says so, this process contends only if it is a candidate: others
-    watch the lease more closely than it would.
+    While `spared` returns true, this process contends only if it is a candidate, since
+    the candidates poll the lease more often than it would.
     """
 
     def __init__(
@@ -72,9 +72,9 @@
         self.spared = spared
         holder = f"{node}/{secrets.token_hex(4)}"
         self.machine = LeaseMachine(duty.name, holder, timing)
-        self.work: anyio.CancelScope | None = None
-        self.idle = anyio.Event()
-        self.idle.set()
+        self.duty_scope: anyio.CancelScope | None = None
+        self.duty_ended = anyio.Event()
+        self.duty_ended.set()
 
     @property
     def held(self) -> bool:
@@ -85,54 +85,54 @@
         tasks.start_soon(self.run, tasks)
 
     async def run(self, tasks: TaskGroup) -> None:
-        """Take each step when it is due; start and end the duty with the lease."""
+        """Run each step when it is due; start and cancel the duty with the lease."""
         machine = self.machine
         while not machine.released:
             self.start_or_stop_duty(tasks)
             if self.held:
                 machine.vms = self.count_vms() or machine.vms
-            if self.spared() and not machine.is_involved:
-                await anyio.sleep(POLL_IDLE_S)
+            if self.spared() and not machine.is_active:
+                await anyio.sleep(IDLE_POLL_S)
                 continue
             step = machine.step(self.clock.now(), self.clock.wall())
             if step is None:
-                await anyio.sleep(self.pause_s())
+                await anyio.sleep(self.poll_wait_s())
                 continue
             result = await take_step(self.platform, step)
             machine.took(result, self.clock.now())
 
-    def pause_s(self) -> float:
-        """Return how long nothing is to be done; a lease that is held can run out."""
-        if self.held or self.work is not None:
+    def poll_wait_s(self) -> float:
+        """Return the seconds until the next poll, few while a lease may expire."""
+        if self.held or self.duty_scope is not None:
             return POLL_S
         due_s = self.machine.next_at - self.clock.now()
-        return min(POLL_IDLE_S, max(POLL_S / 10, due_s))
+        return min(IDLE_POLL_S, max(POLL_S / 10, due_s))
 
     def start_or_stop_duty(self, tasks: TaskGroup) -> None:
-        if self.held and self.work is None:
-            self.work = anyio.CancelScope()
-            self.idle = anyio.Event()
-            tasks.start_soon(self.run_duty, self.work)
-        elif not self.held and self.work is not None:
-            self.work.cancel()
+        if self.held and self.duty_scope is None:
+            self.duty_scope = anyio.CancelScope()
+            self.duty_ended = anyio.Event()
+            tasks.start_soon(self.run_duty, self.duty_scope)
+        elif not self.held and self.duty_scope is not None:
+            self.duty_scope.cancel()
 
     async def run_duty(self, scope: anyio.CancelScope) -> None:
         name = self.duty.name
-        fence = self.machine.tenure.fence if self.machine.tenure else None
+        fence = self.machine.held_lease.fence if self.machine.held_lease else None
         log_event("lease_gained", lease=name, fence=fence)
         try:
             with scope:
                 await self.duty.run(self.machine)
         finally:
             log_event("lease_duty_ended", lease=name, fence=fence)
-            self.work = None
-            self.idle.set()
+            self.duty_scope = None
+            self.duty_ended.set()
 
     async def close(self) -> None:
-        """End the duty, then let the next holder in at once."""
-        if self.work is not None:
-            self.work.cancel()
-        await self.idle.wait()
+        """End the duty, then release the lease, so that another takes it at once."""
+        if self.duty_scope is not None:
+            self.duty_scope.cancel()
+        await self.duty_ended.wait()
         self.machine.give_up()
         with anyio.move_on_after(RELEASE_TIMEOUT_S):
             while not self.machine.released:
--- a/src/godwitmast/lease/intents.py
+++ b/src/godwitmast/lease/intents.py
@@ -1,4 +1,4 @@
-"""Orders written down before they are given, so that a successor goes on with them."""
+"""Intents: orders recorded before they are sent, so that a successor completes them."""
 
 from enum import Enum
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 
 
 class Intent(NamedTuple):
-    """An order with its id, which goes out with it, and the fence it was given under."""
+    """An order, its id, which is sent with it, and the fencing token that it has."""
 
     intent_id: str
     fence: int
@@ -19,16 +19,16 @@
 
 
 class Recorded(Enum):
-    """What became of writing an intent."""
+    """Outcome of writing an intent."""
 
     WRITTEN = "written"
-    """It is in the table: give the order."""
+    """The intent is in the table: send the order."""
     EXISTS = "exists"
-    """This id was written before: look at it, and do not order anew."""
+    """An intent of this id exists: read it, and do not send a new order."""
     DEPOSED = "deposed"
-    """Another process holds the lease: give no order."""
+    """Another process holds the lease: send no order."""
     FAILED = "failed"
-    """The table is away, or the outcome is not known: give no order now."""
+    """The table is down, or the outcome is not known: send no order now."""
 
 
 def intent_key(duty: str, intent_id: str) -> str:
@@ -36,7 +36,7 @@
 
 
 def record_intent(duty: str, guard: Guard, intent: Intent) -> Steps[Recorded]:
-    """Write an intent under the lease; only a holder that was not deposed can."""
+    """Write an intent, on condition that the lease has not changed hands."""
     key = intent_key(duty, intent.intent_id)
     checks = guard.checks
     row = {"fence": intent.fence, "order": intent.order, "outcome": None}
@@ -49,7 +49,7 @@
                 return Recorded.DEPOSED
             return Recorded.EXISTS
         case Failure.UNKNOWN:
-            # Ids are never used twice, so finding the row means that it is ours.
+            # Ids are unique, so a row that is found was written by this call.
             found = yield Read([key])
             if isinstance(found, Rows) and found.value(key) == row:
                 return Recorded.WRITTEN
@@ -59,7 +59,7 @@
 def settle_intent(
     duty: str, guard: Guard, intent: Intent, outcome: Json
 ) -> Steps[bool]:
-    """Write down what came of an order; repeating it is safe."""
+    """Record an order's outcome, repeatably; return whether it was written."""
     key = intent_key(duty, intent.intent_id)
     row = {"fence": intent.fence, "order": intent.order, "outcome": outcome}
     result = yield Transact(guard.checks, {key: row})
@@ -67,16 +67,16 @@
 
 
 def drop_intent(duty: str, guard: Guard, intent_id: str) -> Steps[bool]:
-    """Forget a settled intent."""
+    """Delete a settled intent; return whether it was written."""
     result = yield Transact(guard.checks, {intent_key(duty, intent_id): None})
     return isinstance(result, Written)
 
 
 def read_intents(duty: str) -> Steps[list[Intent] | None]:
-    """Return every intent that stands, or None when the table does not answer.
+    """Return all intents in the table, or None if it does not answer.
 
-    A new holder starts with these: an intent without an outcome may have been
-    ordered, so it is asked after or sent again under its own id, never under a new one.
+    A new holder starts with them. The order of an intent without an outcome may have
+    been sent, so it is looked up or sent again under its own id, never under a new one.
     """
     prefix = intent_key(duty, "")
     found = yield Scan(prefix)
--- a/src/godwitmast/lease/machine.py
+++ b/src/godwitmast/lease/machine.py
@@ -1,8 +1,8 @@
-"""A lease in the platform's table that needs no trusted clock, without I/O.
+"""State machine of a lease in the platform's table that needs no trusted clock.
 
-Two rows: `lease/NAME` with holder and fencing token changes only when the lease
-changes hands, so that a holder's other writes can check its version; and
-`lease/NAME/beat` is what the holder renews.
+A lease has two rows. `lease/NAME` names the holder and the fencing token, and is
+written only when the holder changes, so that the holder's other transactions can check
+its version. `lease/NAME/beat` is the heartbeat that the holder renews.
 """
 
 import math
@@ -15,24 +15,26 @@
 from godwitmast.platform_api.steps import Failure, Read, Result, Rows, Step, Transact
 from godwitmast.types import Json
 
-CANDIDATES = 8
-"""How many contenders watch a lease closely, on average. All of 67 VMs took 28 calls a
-second for it, and only one can win. Each contender draws for itself, so that with one
-draw in 3,000 there is none; the others' seldom looks then take its place."""
+TARGET_CANDIDATES = 8
+"""How many contenders poll a lease often, on average. When all of 67 VMs did, polling
+took 28 calls a second, and only one contender can win. Each decides by its own hash, so
+that once in 3,000 times there is no candidate; the others' rare reads then suffice."""
 
-SLOW_WATCHES = 8
-"""How many times as long the others wait between two looks. They matter only once every
-candidate is gone, which the loss of a zone may bring about in a small system."""
+SLOW_WATCH_FACTOR = 8
+"""By how much longer than a candidate the others wait between two reads. Their reads
+matter only when every candidate has failed, which the loss of a zone may cause in a
+small system."""
 
-NOBODY = ""
-"""The holder of a lease that was given up."""
+NO_HOLDER = ""
+"""Value of `holder` in the row of a lease that was released."""
 
 
 class LeaseTiming(NamedTuple):
-    """How long a lease lasts; `guard_s` must exceed the time-out of any order.
+    """Time constants of a lease; `guard_s` must exceed the time-out of any order.
 
-    `guard_s` also covers how much faster a challenger's clock may run than the
-    holder's: at the defaults, by a third. A new holder is in place at most
+    A holder counts on its lease for `ttl_s` after a renewal, a challenger waits for
+    `ttl_s + guard_s`. The difference also covers a challenger's clock that runs faster
+    than the holder's: at the defaults, by a third. A new holder takes over at most
     `watch_s + ttl_s + guard_s` after the old one's last renewal.
     """
 
@@ -43,23 +45,23 @@
 
 
 class Guard(Protocol):
-    """What the work under a lease asks before each order that it gives."""
+    """Checks that work under a lease makes before each order."""
 
     def fence_if_held(self, now: float, wall: float) -> int | None:
-        """Return the fencing token if the lease is held at this moment.
+        """Return the fencing token if the lease is held at this moment, else None.
 
-        Ask in the last step before an order leaves, and give the order a time-out
-        shorter than the lease's `guard_s`.
+        Call it right before an order is sent, and give the order a time-out shorter
+        than the lease's `guard_s`.
         """
 
     @property
     def checks(self) -> dict[str, int]:
-        """Return what a transaction checks so that no deposed holder writes it."""
+        """Return the row versions that make a deposed holder's transaction fail."""
 
 
 @dataclass(frozen=True, slots=True)
-class Tenure:
-    """A lease that was held, from before the last proven renewal was sent."""
+class HeldLease:
+    """A held lease, whose time counts from when its last confirmed renewal was sent."""
 
     fence: int
     lease_version: int
@@ -69,8 +71,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unproven:
-    """A renewal or takeover whose answer has not come."""
+class PendingRenewal:
+    """A renewal or takeover whose outcome is not known yet."""
 
     fence: int
     beat: int
@@ -78,8 +80,8 @@
     sent_wall: float
 
 
-class Watched(NamedTuple):
-    """The rows as last seen; a change of any part restarts the watch."""
+class ObservedRows(NamedTuple):
+    """The rows as last read; a change of any field restarts the wait for a takeover."""
 
     lease_version: int
     beat_version: int
@@ -88,11 +90,11 @@
 
 
 class LeaseMachine:
-    """One process's part in one lease.
+    """One process that contends for one lease or holds it.
 
-    `step` returns the next table step when one is due, `took` takes its result, and
-    at most one step is out at a time. `holder` must be new at each process start: a
-    process that lost its memory is a stranger to its own lease.
+    `step` returns the next table step when one is due, `took` applies its result, and
+    at most one step is in flight at a time. `holder` must be unique to each process
+    start, since a restarted process does not know what its predecessor sent.
     """
 
     def __init__(
@@ -103,105 +105,108 @@
         self.timing = timing
         self.lease_key = f"lease/{name}"
         self.beat_key = f"lease/{name}/beat"
-        self.tenure: Tenure | None = None
-        self.unproven: Unproven | None = None
-        self.watched: Watched | None = None
-        self.watched_since = 0.0
-        self.out: Step | None = None
+        self.held_lease: HeldLease | None = None
+        self.pending_renewal: PendingRenewal | None = None
+        self.observed: ObservedRows | None = None
+        self.observed_since = 0.0
+        self.pending_step: Step | None = None
         self.next_at = 0.0
-        self.leaving = False
-        self.beats = 0
-        # How many contend, as the holder last told, 0 if it is not known; and this
-        # one's lot among them.
+        self.releasing = False
+        self.beat_count = 0
+        # The number of contenders, as the holder last wrote it, 0 if unknown; and this
+        # one's hash in [0, 1), which decides whether it is a candidate.
         self.vms = 0
-        self.draw = xxh3_64_intdigest(holder.encode()) / 2**64
-        self.looked_at = -math.inf
+        self.hash_fraction = xxh3_64_intdigest(holder.encode()) / 2**64
+        self.read_at = -math.inf
 
     def fence_if_held(self, now: float, wall: float) -> int | None:
-        """Return the fencing token if the lease is held at this moment.
+        """Return the fencing token if the lease is held at this moment, else None.
 
-        A process that is paused past its lease, or a VM that is suspended so that
-        its monotonic clock stands still, would go on giving orders beside its
-        successor. So both clocks are asked each time, and either one can say no; a
-        wall clock that went back proves nothing and says no as well.
+        A process that is paused past its lease, or a VM that is suspended so that its
+        monotonic clock stops, would otherwise send orders beside its successor. So
+        the lease must be valid by both clocks. A wall clock that was set back is no
+        evidence of that, and makes the lease invalid.
         """
-        tenure = self.tenure
-        if tenure is None or self.leaving:
+        held_lease = self.held_lease
+        if held_lease is None or self.releasing:
             return None
-        if now >= tenure.sent_now + self.timing.ttl_s:
+        if now >= held_lease.sent_now + self.timing.ttl_s:
             return None
-        if not 0 <= wall - tenure.sent_wall < self.timing.ttl_s:
+        if not 0 <= wall - held_lease.sent_wall < self.timing.ttl_s:
             return None
-        return tenure.fence
+        return held_lease.fence
 
     @property
     def released(self) -> bool:
-        """Return whether nothing is left to do after `give_up`."""
-        idle = self.out is None and self.unproven is None
-        return self.leaving and idle and self.tenure is None
+        """Return whether nothing is left to be written after `give_up`."""
+        idle = self.pending_step is None and self.pending_renewal is None
+        return self.releasing and idle and self.held_lease is None
 
     @property
     def checks(self) -> dict[str, int]:
-        """Return the check that fails once another process has taken the lease."""
-        return {self.lease_key: self.tenure.lease_version if self.tenure else -1}
+        """Return the row version that changes once another process takes the lease."""
+        return {
+            self.lease_key: self.held_lease.lease_version if self.held_lease else -1
+        }
 
     def give_up(self) -> None:
-        """Hold no longer; the next step tells the others, so that they need not wait.
+        """Stop holding the lease; the next step releases it, so that nobody waits.
 
-        Call it only once no order is on its way.
+        Call it only when no order is in flight.
         """
-        self.leaving = True
+        self.releasing = True
         self.next_at = 0.0
 
     def step(self, now: float, wall: float) -> Step | None:
         """Return the step to take now, if one is due."""
-        if self.out is not None or now < self.next_at:
+        if self.pending_step is not None or now < self.next_at:
             return None
-        self.out = self.choose_step(now, wall)
-        return self.out
+        self.pending_step = self.choose_step(now, wall)
+        return self.pending_step
 
     def choose_step(self, now: float, wall: float) -> Step | None:
-        if self.unproven is not None:
+        if self.pending_renewal is not None:
             return Read([self.lease_key, self.beat_key])
-        if self.leaving:
+        if self.releasing:
             return self.release()
-        if self.tenure is not None:
-            return self.renew(self.tenure, now, wall)
-        if self.watched is not None and self.may_take(self.watched, now):
-            if not self.is_candidate and now > self.looked_at + self.timing.ttl_s:
-                # Seen long ago, so that it has surely moved on.
+        if self.held_lease is not None:
+            return self.renew(self.held_lease, now, wall)
+        if self.observed is not None and self.may_take_over(self.observed, now):
+            if not self.is_candidate and now > self.read_at + self.timing.ttl_s:
+                # The rows were read too long ago for the compare-and-set to succeed.
                 return Read([self.lease_key, self.beat_key])
-            return self.take_over(self.watched, now, wall)
+            return self.take_over(self.observed, now, wall)
         return Read([self.lease_key, self.beat_key])
 
-    def may_take(self, watched: Watched, now: float) -> bool:
+    def may_take_over(self, observed: ObservedRows, now: float) -> bool:
         """Return whether the holder has certainly stopped counting on its lease.
 
-        The holder counts from before it sent the renewal that we saw afterwards, so
-        its time is over before ours is, whatever the clocks say.
+        The holder counts from when it sent the renewal, and this process from when it
+        first read it, which is later. So the holder's time ends first, whatever the
+        two clocks show.
         """
-        if watched.holder == NOBODY:
+        if observed.holder == NO_HOLDER:
             return True
-        return now >= self.watched_since + self.timing.ttl_s + self.timing.guard_s
+        return now >= self.observed_since + self.timing.ttl_s + self.timing.guard_s
 
-    def try_beat(self, fence: int, now: float, wall: float) -> Json:
-        """Return the beat row of a renewal or takeover, and remember when it left.
+    def begin_renewal(self, fence: int, now: float, wall: float) -> Json:
+        """Return the heartbeat row of a renewal or takeover, and record its send time.
 
-        No two tries share a number. Were a renewal of unknown outcome followed by one
-        of the same number, the first one's late arrival would pass for the second,
-        and the holder would count from too late a moment.
+        Each attempt has its own number. If a renewal of unknown outcome were repeated
+        under the same number, a late write of the first would be taken for the second,
+        and the holder would count its time from too late a moment.
         """
-        self.beats += 1
-        self.unproven = Unproven(fence, self.beats, now, wall)
-        return {"fence": fence, "beat": self.beats, "crowd": self.vms}
+        self.beat_count += 1
+        self.pending_renewal = PendingRenewal(fence, self.beat_count, now, wall)
+        return {"fence": fence, "beat": self.beat_count, "crowd": self.vms}
 
-    def take_over(self, watched: Watched, now: float, wall: float) -> Step:
-        fence = watched.fence + 1
-        beat = self.try_beat(fence, now, wall)
+    def take_over(self, observed: ObservedRows, now: float, wall: float) -> Step:
+        fence = observed.fence + 1
+        beat = self.begin_renewal(fence, now, wall)
         return Transact(
             {
-                self.lease_key: watched.lease_version,
-                self.beat_key: watched.beat_version,
+                self.lease_key: observed.lease_version,
+                self.beat_key: observed.beat_version,
             },
             {
                 self.lease_key: {"holder": self.holder, "fence": fence},
@@ -209,129 +214,148 @@
             },
         )
 
-    def renew(self, tenure: Tenure, now: float, wall: float) -> Step:
-        beat = self.try_beat(tenure.fence, now, wall)
+    def renew(self, held_lease: HeldLease, now: float, wall: float) -> Step:
+        beat = self.begin_renewal(held_lease.fence, now, wall)
         return Transact(
             {
-                self.lease_key: tenure.lease_version,
-                self.beat_key: tenure.beat_version,
+                self.lease_key: held_lease.lease_version,
+                self.beat_key: held_lease.beat_version,
             },
             {self.beat_key: beat},
         )
 
     def release(self) -> Step | None:
-        tenure = self.tenure
-        self.tenure = None
-        if tenure is None:
+        held_lease = self.held_lease
+        self.held_lease = None
+        if held_lease is None:
             self.next_at = float("inf")
             return None
         return Transact(
-            {self.lease_key: tenure.lease_version},
-            {self.lease_key: {"holder": NOBODY, "fence": tenure.fence}},
+            {self.lease_key: held_lease.lease_version},
+            {self.lease_key: {"holder": NO_HOLDER, "fence": held_lease.fence}},
         )
 
     @property
     def watch_s(self) -> float:
-        """Return how long to wait between two looks at somebody else's lease.
+        """Return the seconds between two reads of a lease that another process holds.
 
         Load pattern: dozens of VMs contend for a lease that one of them holds for days.
-        Each look is a call that is paid for, and finds nothing. So as many as are needed
-        look often, by a draw of their own, and all others seldom.
+        Each read is a paid call and finds nothing new. So only a few candidates, chosen
+        by their own hash, read often, and all others rarely.
         """
-        return self.timing.watch_s * (1 if self.is_candidate else SLOW_WATCHES)
+        return self.timing.watch_s * (1 if self.is_candidate else SLOW_WATCH_FACTOR)
 
     @property
     def is_candidate(self) -> bool:
-        return self.draw * max(1, self.vms) < CANDIDATES
+        return self.hash_fraction * max(1, self.vms) < TARGET_CANDIDATES
 
     @property
-    def is_involved(self) -> bool:
-        """Return whether it holds the lease, may hold it, or watches it closely."""
-        busy = self.out is not None or self.unproven is not None or self.leaving
-        return busy or self.tenure is not None or self.is_candidate
+    def is_active(self) -> bool:
+        """Return whether it holds the lease, may hold it, or is a candidate."""
+        busy = (
+            self.pending_step is not None
+            or self.pending_renewal is not None
+            or self.releasing
+        )
+        return busy or self.held_lease is not None or self.is_candidate
 
     def took(self, result: Result, now: float) -> None:
-        """Take the result of the step that is out."""
-        step, self.out = self.out, None
+        """Apply the result of the step in flight."""
+        step, self.pending_step = self.pending_step, None
         match step, result:
             case Transact(), Written():
-                self.written(result, now)
+                self.apply_written(result, now)
             case Transact(), Conflict() | Failure.NOT_DONE:
-                self.refused(result, now)
+                self.apply_refusal(result, now)
             case Read(), Rows():
-                self.observe(result, now)
+                self.apply_rows(result, now)
             case _:
-                # A lost answer is no renewal until a read proves that it was one.
+                # After a lost answer, a read must confirm that the renewal was written.
                 self.next_at = now + self.retry_s
 
     @property
     def retry_s(self) -> float:
         return self.timing.renew_s / 4
 
-    def written(self, result: Written, now: float) -> None:
-        unproven, self.unproven = self.unproven, None
-        if unproven is None:
+    def apply_written(self, result: Written, now: float) -> None:
+        pending_renewal, self.pending_renewal = self.pending_renewal, None
+        if pending_renewal is None:
             return
         lease_version = result.versions.get(self.lease_key)
         if lease_version is None:
-            assert self.tenure is not None, "a renewal belongs to a tenure"
-            lease_version = self.tenure.lease_version
-        self.hold(unproven, lease_version, result.versions[self.beat_key], now)
+            assert self.held_lease is not None, "a renewal belongs to a held lease"
+            lease_version = self.held_lease.lease_version
+        self.confirm(
+            pending_renewal, lease_version, result.versions[self.beat_key], now
+        )
 
-    def hold(
-        self, proven: Unproven, lease_version: int, beat_version: int, now: float
+    def confirm(
+        self, proven: PendingRenewal, lease_version: int, beat_version: int, now: float
     ) -> None:
-        self.tenure = Tenure(
+        self.held_lease = HeldLease(
             proven.fence,
             lease_version,
             beat_version,
             proven.sent_now,
             proven.sent_wall,
         )
-        self.watched = None
+        self.observed = None
         self.next_at = max(now, proven.sent_now + self.timing.renew_s)
 
-    def refused(self, result: Result, now: float) -> None:
-        """Nothing was written: the rows have moved on, or the table is away."""
+    def apply_refusal(self, result: Result, now: float) -> None:
+        """Handle a step that wrote nothing: a row has changed, or the table is down."""
         if isinstance(result, Conflict):
-            # What is in the way may be our own delayed write, so read before judging.
+            # The conflicting write may be this process's own delayed one: read first.
             self.next_at = now
-            if self.tenure is None:
-                self.unproven = None
-                self.watched = None
+            if self.held_lease is None:
+                self.pending_renewal = None
+                self.observed = None
             return
-        self.unproven = None
+        self.pending_renewal = None
         self.next_at = now + self.retry_s
 
-    def observe(self, rows: Rows, now: float) -> None:
-        """Take the rows as they are: ours, proven ours, or another's to be watched."""
-        lease = rows.value(self.lease_key) or {"holder": NOBODY, "fence": 0}
+    def apply_rows(self, rows: Rows, now: float) -> None:
+        """Apply the rows that were read.
+
+        They confirm the pending renewal, show that an older one still holds, or belong
+        to another process, whose lease is then observed.
+        """
+        lease = rows.value(self.lease_key) or {"holder": NO_HOLDER, "fence": 0}
         beat = rows.value(self.beat_key) or {"fence": 0, "beat": 0}
         lease_version = rows.version(self.lease_key)
         beat_version = rows.version(self.beat_key)
-        self.looked_at = now
-        unproven, self.unproven = self.unproven, None
-        if unproven is not None and lease["holder"] == self.holder:
-            if (beat["fence"], beat["beat"]) == (unproven.fence, unproven.beat):
-                self.hold(unproven, lease_version, beat_version, now)
+        self.read_at = now
+        pending_renewal, self.pending_renewal = self.pending_renewal, None
+        if pending_renewal is not None and lease["holder"] == self.holder:
+            if (beat["fence"], beat["beat"]) == (
+                pending_renewal.fence,
+                pending_renewal.beat,
+            ):
+                self.confirm(pending_renewal, lease_version, beat_version, now)
                 return
-            if self.tenure is not None and lease_version == self.tenure.lease_version:
-                # Still ours, by the older renewal. The newer one may yet arrive; it
-                # then changes the beat's version, and the next renewal notices.
-                self.tenure = replace(self.tenure, beat_version=beat_version)
+            if (
+                self.held_lease is not None
+                and lease_version == self.held_lease.lease_version
+            ):
+                # The lease is still held, by the older renewal. The newer one may be
+                # written late; it changes the heartbeat's version, so that the next
+                # renewal conflicts.
+                self.held_lease = replace(self.held_lease, beat_version=beat_version)
                 self.next_at = now
                 return
-        self.tenure = None
-        # A new holder has not counted yet; what was known before is nearer the truth.
+        self.held_lease = None
+        # A new holder has not counted the VMs yet; the earlier count is a better one.
         self.vms = beat.get("crowd", 0) or self.vms
-        seen = Watched(lease_version, beat_version, lease["fence"], lease["holder"])
-        look = now + self.watch_s
-        if seen != self.watched:
-            self.watched, self.watched_since = seen, now
-            if seen.holder != NOBODY:
-                self.next_at = look
+        seen = ObservedRows(
+            lease_version, beat_version, lease["fence"], lease["holder"]
+        )
+        next_read_at = now + self.watch_s
+        if seen != self.observed:
+            self.observed, self.observed_since = seen, now
+            if seen.holder != NO_HOLDER:
+                self.next_at = next_read_at
                 return
-        wait = self.timing.ttl_s + self.timing.guard_s
-        free = self.watched_since + (0.0 if seen.holder == NOBODY else wait)
-        # Taken over right then, without another read: the compare-and-set looks.
-        self.next_at = max(now, min(look, free))
+        wait_s = self.timing.ttl_s + self.timing.guard_s
+        free_at = self.observed_since + (0.0 if seen.holder == NO_HOLDER else wait_s)
+        # The takeover needs no further read, since its compare-and-set checks the rows.
+        self.next_at = max(now, min(next_read_at, free_at))
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""Leases and intents, step by step on a table in memory."""
+"""Leases and intents, step by step on an in-memory table."""
 
 import pytest
 
@@ -10,13 +10,13 @@
     record_intent,
     settle_intent,
 )
-from godwitmast.lease.machine import SLOW_WATCHES, LeaseMachine, LeaseTiming
+from godwitmast.lease.machine import SLOW_WATCH_FACTOR, LeaseMachine, LeaseTiming
 
 TIMING = LeaseTiming()
 
 
 def play(platform: FakePlatform, machine: LeaseMachine, now: float, fate: Fate) -> None:
-    """Let a contender take the step that is due, if one is."""
+    """Run the step that a contender has due, if any."""
     step = machine.step(now, now)
     if step is not None:
         machine.took(platform.take(step, fate), now)
@@ -50,25 +50,25 @@
     assert first.fence_if_held(100.0, 100.0) is None
     while not first.released:
         play(platform, first, 100.0, Fate.ANSWERED)
-    assert hold(platform, "b", 100.1).tenure.fence == 2
+    assert hold(platform, "b", 100.1).held_lease.fence == 2
 
 
 def test_renewal_whose_answer_is_lost_counts_only_once_read_back() -> None:
     platform = FakePlatform()
     machine = hold(platform, "a", 100.0)
     play(platform, machine, 103.0, Fate.ANSWER_LOST)
-    assert machine.tenure.sent_now == 100.0
+    assert machine.held_lease.sent_now == 100.0
     play(platform, machine, 104.0, Fate.ANSWERED)
-    assert machine.tenure.sent_now == 103.0
+    assert machine.held_lease.sent_now == 103.0
     assert machine.fence_if_held(111.9, 111.9) == 1
     assert machine.fence_if_held(112.0, 112.0) is None
 
 
 def test_deposed_holder_cannot_write_an_intent_and_the_next_one_finds_it() -> None:
-    """An order is written down, its answer lost, and its holder then replaced.
+    """A holder writes an intent, the answer is lost, and another process takes over.
 
-    The successor finds the intent without an outcome and goes on with its id. The old
-    holder, which still believes in its lease, can write neither intent nor outcome.
+    The successor finds the intent without an outcome and settles it under its id. The
+    deposed holder, which has not noticed, can write neither intent nor outcome.
     """
     platform = FakePlatform()
     old = hold(platform, "a", 100.0)
@@ -93,62 +93,62 @@
     assert platform.run(again) is Recorded.EXISTS
 
 
-def looks(crowd: int, seconds: float) -> tuple[int, int]:
-    """Return how many looks a crowd takes at a live holder's lease, and how many of its
-    contenders look often."""
+def count_looks(vm_count: int, seconds: float) -> tuple[int, int]:
+    """Return how often contenders read a live holder's lease, and how many of them are
+    candidates."""
     platform = FakePlatform()
     holder = hold(platform, "holder", 100.0)
-    holder.vms = crowd
-    contenders = [LeaseMachine("orders", f"c{n}", TIMING) for n in range(crowd - 1)]
+    holder.vms = vm_count
+    contenders = [LeaseMachine("orders", f"c{n}", TIMING) for n in range(vm_count - 1)]
     calls = 0
     for tenth in range(int(seconds * 10)):
         now = 100.0 + tenth / 10
         play(platform, holder, now, Fate.ANSWERED)
         for machine in contenders:
-            before = machine.out, machine.next_at
+            before = machine.pending_step, machine.next_at
             play(platform, machine, now, Fate.ANSWERED)
-            calls += (machine.out, machine.next_at) != before
+            calls += (machine.pending_step, machine.next_at) != before
             assert machine.fence_if_held(now, now) is None
-    often = sum(machine.watch_s == TIMING.watch_s for machine in contenders)
-    return calls, often
+    candidates = sum(machine.watch_s == TIMING.watch_s for machine in contenders)
+    return calls, candidates
 
 
 def test_looks_at_a_held_lease_hardly_grow_with_the_contenders() -> None:
-    """Seven times as many VMs contend for one lease that its holder keeps."""
-    few, few_often = looks(9, 300)
-    many, many_often = looks(67, 300)
-    assert few_often >= 6
-    assert 4 <= many_often <= 16
+    """Seven times as many VMs contend for a lease that its holder keeps renewing."""
+    few, few_candidates = count_looks(9, 300)
+    many, many_candidates = count_looks(67, 300)
+    assert few_candidates >= 6
+    assert 4 <= many_candidates <= 16
     assert many < 3.5 * few
 
 
 def test_lease_passes_on_when_every_candidate_is_gone() -> None:
-    """A zone is lost with the holder and all that watched closely."""
+    """A zone is lost with the holder and all candidates."""
     platform = FakePlatform()
     holder = hold(platform, "holder", 100.0)
     holder.vms = 10_000
     play(platform, holder, 103.0, Fate.ANSWERED)
-    rest = LeaseMachine("orders", "one of many", TIMING)
+    non_candidate = LeaseMachine("orders", "one of many", TIMING)
     now = 103.0
-    while rest.fence_if_held(now, now) is None:
-        play(platform, rest, now, Fate.ANSWERED)
+    while non_candidate.fence_if_held(now, now) is None:
+        play(platform, non_candidate, now, Fate.ANSWERED)
         now += 0.1
-        assert now < 103.0 + 3 * SLOW_WATCHES * TIMING.watch_s
-    assert rest.watch_s == SLOW_WATCHES * TIMING.watch_s
-    assert rest.fence_if_held(now, now) == 2
+        assert now < 103.0 + 3 * SLOW_WATCH_FACTOR * TIMING.watch_s
+    assert non_candidate.watch_s == SLOW_WATCH_FACTOR * TIMING.watch_s
+    assert non_candidate.fence_if_held(now, now) == 2
 
 
 def test_new_holder_that_has_not_counted_yet_keeps_the_count_of_before() -> None:
-    """A takeover told hundreds of VMs that one is there.
+    """A takeover wrote that there is one VM where there were hundreds.
 
-    Each then watched the lease closely, and took the whole allowance of repeats.
+    Each VM then became a candidate, and used the whole allowance of retries.
     """
     platform = FakePlatform()
     machines = [LeaseMachine("duties", name, TIMING) for name in ("a", "b")]
     for machine in machines:
         machine.vms = 195
     now = 0.0
-    while not any(machine.tenure for machine in machines):
+    while not any(machine.held_lease for machine in machines):
         now += 0.5
         for machine in machines:
             step = machine.step(now, now)
--- a/tests/test_lease_model.py
+++ b/tests/test_lease_model.py
@@ -1,4 +1,5 @@
-"""The lease protocol under lost, delayed and repeated messages, pauses and restarts."""
+"""Model of the lease protocol under lost, delayed and repeated messages, pauses and
+restarts."""
 
 from dataclasses import dataclass, replace
 from itertools import count
@@ -21,7 +22,7 @@
 
 @dataclass
 class Contender:
-    """A process with clocks of its own and at most one step under way."""
+    """A process with its own clocks and at most one step in flight."""
 
     machine: LeaseMachine
     rate: float
@@ -32,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Order:
-    """An order on its way to a server that does not check fences."""
+    """An order in flight to a server that does not check fencing tokens."""
 
     fence: int
     arrives_by: float
@@ -181,7 +182,7 @@
 
 
 class LeaseLookedAtSeldom(LeaseMachine):
-    """One of a crowd that leaves the close watch to others, who are all gone."""
+    """Never is a candidate, as when all candidates have failed."""
 
     @property
     def is_candidate(self) -> bool:
@@ -189,28 +190,30 @@
 
 
 class LeaseWithoutLastStepCheck(LeaseMachine):
-    """Believes what it last heard, as a process does that trusts being cancelled."""
+    """Trusts its last renewal without checking the clocks before an order."""
 
     def fence_if_held(self, now: float, wall: float) -> int | None:
-        return self.tenure.fence if self.tenure else None
+        return self.held_lease.fence if self.held_lease else None
 
 
 class LeaseCountedFromTheAnswer(LeaseMachine):
-    """Counts its time from when the renewal was answered, not from when it left."""
+    """Counts its time from the answer to the renewal, not from when it was sent."""
 
     def took(self, result: Result, now: float) -> None:
-        if self.unproven is not None:
-            late = now - self.unproven.sent_now
-            wall = self.unproven.sent_wall + late
-            self.unproven = replace(self.unproven, sent_now=now, sent_wall=wall)
+        if self.pending_renewal is not None:
+            late = now - self.pending_renewal.sent_now
+            wall = self.pending_renewal.sent_wall + late
+            self.pending_renewal = replace(
+                self.pending_renewal, sent_now=now, sent_wall=wall
+            )
         super().took(result, now)
 
 
 class LeaseTakenAtOnce(LeaseMachine):
-    """Takes over as soon as its own watch is over, without the guard."""
+    """Takes over after half the lease time, without the guard."""
 
-    def may_take(self, watched, now: float) -> bool:
-        return now >= self.watched_since + self.timing.ttl_s / 2
+    def may_take_over(self, observed, now: float) -> bool:
+        return now >= self.observed_since + self.timing.ttl_s / 2
 
 
 def test_lease_has_one_holder_at_a_time_whatever_fails() -> None:
