--- a/src/godwitmast/claims/keeper.py
+++ b/src/godwitmast/claims/keeper.py
@@ -1,4 +1,4 @@
-"""Claims over HTTP: taken before a call is sent, and settled however long it takes."""
+"""Driver of the claims: claims a call before it is sent, and retries its settlement."""
 
 import hashlib
 import secrets
@@ -25,18 +25,20 @@
 from godwitmast.platform_api.runner import run_steps
 
 SETTLE_WAIT_S = 1.0
-"""How long an answer waits for being stored; after that it is stored behind it."""
+"""How long an answer to the caller waits until it is stored; later, storing goes on in
+the background."""
 
 RETRY_EVERY_S = 1.0
 CLOSE_TIMEOUT_S = 10.0
-MAX_OWED = 10_000
-MAX_OWED_BYTES = 64 * 1024 * 1024
-"""What an outage may pile up here. Past it the oldest are left as claimed: their
-outcome is then unknown for ever, which is never wrong, and memory stays bounded."""
+MAX_PENDING = 10_000
+MAX_PENDING_BYTES = 64 * 1024 * 1024
+"""Bounds of the settlements that queue up in an outage of the table. Beyond them the
+oldest are dropped and their calls stay claimed: an outcome that is unknown for ever is
+safe, and memory stays bounded."""
 
 
 class ClaimedCall:
-    """One arrival of a call that may run at most once."""
+    """One arrival of a call that may run at most once, with its claim."""
 
     def __init__(self, keeper: "ClaimKeeper", call: Call) -> None:
         self.keeper = keeper
@@ -46,7 +48,7 @@
         self.settled = False
 
     async def look(self) -> LookOutcome:
-        """Return what is known of the call, before it waits for its turn."""
+        """Return what the table says of the call, before the call queues."""
         outcome = await run_steps(self.keeper.platform, look(self.call))
         if isinstance(outcome, Free):
             self.free = outcome
@@ -58,19 +60,18 @@
         if self.won is not None:
             return self.won
         with anyio.CancelScope(shield=True):
-            # Cut off half-way, a claim could stand without anybody knowing of it.
+            # A claim whose write is cancelled may be in the table and never settled.
             outcome = await run_steps(self.keeper.platform, take(self.call, self.free))
         if isinstance(outcome, Won):
             self.won = outcome
         elif isinstance(outcome, NoTable) and outcome.may_stand:
-            self.keeper.owe(Settlement(self.call))
+            self.keeper.enqueue(Settlement(self.call))
         return outcome
 
     async def settle(self, ran: bool, answer: Answer | None = None) -> None:
         """Store the answer, or that it is unknown, or that nothing was sent.
 
-        Returns once that is written, or is left to be written later on because the
-        table is slow or away.
+        Returns once that is written, or queued because the table is slow or down.
         """
         if self.won is None or self.settled:
             return
@@ -80,11 +81,11 @@
         with anyio.move_on_after(SETTLE_WAIT_S, shield=True):
             written = await run_steps(self.keeper.platform, settlement.steps())
         if not written:
-            self.keeper.owe(settlement)
+            self.keeper.enqueue(settlement)
 
 
 class ClaimKeeper:
-    """An entry's claims, with those that are still to be settled."""
+    """An entry's claims, and the queue of those that are not settled yet."""
 
     def __init__(self, platform: PlatformClient, clock: Clock, node: str) -> None:
         self.platform = platform.in_bulk()
@@ -92,8 +93,8 @@
         self.node = node
         self.incarnation = secrets.token_hex(6)
         self.attempts = 0
-        self.owed: deque[Settlement] = deque()
-        self.owed_bytes = 0
+        self.pending: deque[Settlement] = deque()
+        self.pending_bytes = 0
         self.dropped = 0
 
     async def start(self, tasks: TaskGroup) -> None:
@@ -102,18 +103,18 @@
         tasks.start_soon(self.run)
 
     async def close(self) -> None:
-        """Write what is owed, as far as the table takes it in time."""
+        """Write the pending settlements, for at most `CLOSE_TIMEOUT_S`."""
         with anyio.move_on_after(CLOSE_TIMEOUT_S):
-            while self.owed:
+            while self.pending:
                 if not await self.settle_one():
                     await anyio.sleep(RETRY_EVERY_S / 4)
-        if self.owed:
-            log_event("claims_left", level="ERROR", count=len(self.owed))
+        if self.pending:
+            log_event("claims_left", level="ERROR", count=len(self.pending))
 
     def open_call(
         self, team: str, idempotency_key: str, parts: list[str]
     ) -> ClaimedCall:
-        """Return one arrival of the call that `parts` tell from others."""
+        """Return a new arrival of a call, whose content is hashed from `parts`."""
         digest = hashlib.sha256("\0".join(parts).encode())
         self.attempts += 1
         attempt_id = f"{self.node}/{self.incarnation}/{self.attempts}"
@@ -121,31 +122,31 @@
         call = Call(team, idempotency_key, digest.hexdigest(), attempt_id, wall)
         return ClaimedCall(self, call)
 
-    def owe(self, settlement: Settlement) -> None:
-        """Keep a settlement until the table takes it."""
-        self.owed.append(settlement)
-        self.owed_bytes += size_of(settlement)
-        while len(self.owed) > MAX_OWED or self.owed_bytes > MAX_OWED_BYTES:
-            self.owed_bytes -= size_of(self.owed.popleft())
+    def enqueue(self, settlement: Settlement) -> None:
+        """Queue a settlement until it is written; drop the oldest beyond the bounds."""
+        self.pending.append(settlement)
+        self.pending_bytes += answer_size(settlement)
+        while len(self.pending) > MAX_PENDING or self.pending_bytes > MAX_PENDING_BYTES:
+            self.pending_bytes -= answer_size(self.pending.popleft())
             self.dropped += 1
 
     async def run(self) -> None:
         while True:
             await anyio.sleep(RETRY_EVERY_S)
-            while self.owed and await self.settle_one():
+            while self.pending and await self.settle_one():
                 pass
 
     async def settle_one(self) -> bool:
-        """Try the oldest settlement; return whether it was written."""
-        settlement = self.owed[0]
+        """Write the oldest settlement; return whether that succeeded."""
+        settlement = self.pending[0]
         if not await run_steps(self.platform, settlement.steps()):
             settlement.tries += 1
             return False
-        if self.owed and self.owed[0] is settlement:
-            self.owed.popleft()
-            self.owed_bytes -= size_of(settlement)
+        if self.pending and self.pending[0] is settlement:
+            self.pending.popleft()
+            self.pending_bytes -= answer_size(settlement)
         return True
 
 
-def size_of(settlement: Settlement) -> int:
+def answer_size(settlement: Settlement) -> int:
     return len(settlement.answer.body) if settlement.answer else 0
--- a/src/godwitmast/claims/machine.py
+++ b/src/godwitmast/claims/machine.py
@@ -1,9 +1,9 @@
-"""At-most-once claims in the platform's table, without I/O.
+"""State machine of at-most-once claims in the platform's table, without I/O.
 
-A claim is written before the first byte of a call leaves, and never lapses: a claim
-with an expiry would let a repeat run while the first call, which was only slow, still
-does. It ends as done with the stored answer, as released on proof that nothing was
-sent, or it stands for ever, and then the outcome is unknown.
+A claim is written before the first byte of a call is sent, and never expires: with an
+expiry, a retry could run while the first call, which was only slow, still does. A claim
+ends as done, with the stored answer, or as released, on proof that nothing was sent. If
+neither can be proven it stays for ever, and the outcome of the call is unknown.
 """
 
 import hashlib
@@ -28,16 +28,16 @@
 DONE = "done"
 RELEASED = "released"
 
-INLINE_CHARS = 8 * 1024
-"""Longer answers go to the object store; rows are to stay small."""
+MAX_INLINE_BYTES = 8 * 1024
+"""Longer answers go to the object store, to keep rows small."""
 
-TRIES = 4
+MAX_TRIES = 4
 
 
 class Call(NamedTuple):
     """A call that may run at most once.
 
-    `attempt_id` is new for each arrival at an entry, also of the same call.
+    `attempt_id` is unique to each arrival at an entry, also of the same call.
     """
 
     team: str
@@ -62,7 +62,7 @@
 
 
 class Answer(NamedTuple):
-    """An answer as its caller got it."""
+    """An answer as it was sent to the caller."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -71,33 +71,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Free:
-    """No claim stands in the way; `version` is what a claim is written against."""
+    """The call is not claimed; a claim must replace the row of version `version`."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class Won:
-    """The claim is this attempt's: the call may be sent."""
+    """This attempt holds the claim: the call may be sent."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class Stored:
-    """The call ran; `answer` is what it gave, or None if that was not kept."""
+    """The call ran; `answer` is None if its answer was not stored."""
 
     answer: Answer | None
 
 
 @dataclass(frozen=True, slots=True)
 class OtherBody:
-    """The same key came with another body before."""
+    """The idempotency key was used before with another body."""
 
 
 @dataclass(frozen=True, slots=True)
 class InDoubt:
-    """The call was begun. `may_end` says that its answer may be stored yet."""
+    """The call was claimed at `at`; if `may_end`, its answer may still be stored."""
 
     may_end: bool
     at: float
@@ -107,8 +107,7 @@
 class NoTable:
     """The table does not answer, so the call must not run.
 
-    `may_stand` says that a claim may have been written all the same, which
-    `release` takes back.
+    `may_stand` says that a claim may have been written even so; `release` reverts it.
     """
 
     may_stand: bool = False
@@ -119,18 +118,18 @@
 
 
 def look(call: Call) -> Steps[LookOutcome]:
-    """Return what is known of a call, before it waits for its turn."""
+    """Return what the table says of a call, before the call queues."""
     found = yield Read([call.row_key])
     if not isinstance(found, Rows):
         return NoTable()
     row = found.rows.get(call.row_key)
     if row is None:
         return Free(0)
-    return (yield from judge(call, row))
+    return (yield from interpret_row(call, row))
 
 
-def judge(call: Call, row: Row) -> Steps[LookOutcome]:
-    """Return what a claim's row means for a call."""
+def interpret_row(call: Call, row: Row) -> Steps[LookOutcome]:
+    """Return what the row of a claim means for a call."""
     value = row.value
     if value["state"] == RELEASED:
         return Free(row.version)
@@ -141,29 +140,29 @@
     return (yield from load_answer(value["answer"]))
 
 
-def load_answer(kept: Json) -> Steps[Stored | NoTable]:
-    if kept is None:
+def load_answer(stored: Json) -> Steps[Stored | NoTable]:
+    if stored is None:
         return Stored(None)
-    headers = [(name, value) for name, value in kept["headers"]]
-    if kept["object"] is None:
-        return Stored(Answer(kept["status"], headers, kept["text"].encode()))
-    content = yield GetObject(kept["object"])
+    headers = [(name, value) for name, value in stored["headers"]]
+    if stored["object"] is None:
+        return Stored(Answer(stored["status"], headers, stored["text"].encode()))
+    content = yield GetObject(stored["object"])
     if not isinstance(content, ObjectRead):
         return NoTable()
     if content.content is None:
         return Stored(None)
-    return Stored(Answer(kept["status"], headers, content.content))
+    return Stored(Answer(stored["status"], headers, content.content))
 
 
 def take(call: Call, free: Free) -> Steps[TakeOutcome]:
-    """Claim a call before its first byte leaves.
+    """Claim a call before its first byte is sent.
 
-    A write of unknown outcome is read back, and sent again while the row is as it
-    was. It is the same compare-and-set by the same attempt, so if both arrive one of
-    them does nothing.
+    After a write of unknown outcome the row is read, and the write repeated as long as
+    the row has not changed. It is the same compare-and-set by the same attempt, so that
+    of two that arrive one has no effect.
     """
     sent = False
-    for _ in range(TRIES):
+    for _ in range(MAX_TRIES):
         result = yield Transact(
             {call.row_key: free.version}, {call.row_key: call.row(CLAIMED)}
         )
@@ -179,73 +178,76 @@
         if row is not None and row.value["attempt"] == call.attempt_id:
             return Won(row.version)
         if found.version(call.row_key) != free.version:
-            outcome = yield from judge_taken(call, row)
+            outcome = yield from interpret_conflict(call, row)
             if outcome is not None:
                 return outcome
     return NoTable(may_stand=True)
 
 
-def judge_taken(call: Call, row: Row | None) -> Steps[TakeOutcome | None]:
-    """Return what stands in the way of a claim whose compare-and-set has failed."""
+def interpret_conflict(call: Call, row: Row | None) -> Steps[TakeOutcome | None]:
+    """Return the outcome of a claim whose compare-and-set failed; None to try again."""
     if row is None:
         return None
-    outcome = yield from judge(call, row)
+    outcome = yield from interpret_row(call, row)
     if isinstance(outcome, Free):
-        # Another attempt claimed it and gave it back meanwhile. The caller's next
-        # try finds it free; this one has lost.
+        # Another attempt claimed and released the call meanwhile. This attempt fails;
+        # the caller's next one finds the call unclaimed.
         return NoTable()
     return outcome
 
 
 def finish(call: Call, won: Won, answer: Answer | None) -> Steps[bool]:
-    """Store the answer of a call that ran; False means try again."""
-    kept = None
+    """Store the answer of a call that ran; return False if it must be repeated."""
+    stored = None
     if answer is not None:
-        kept = yield from keep_answer(call, answer)
-        if kept is None:
+        stored = yield from store_answer(call, answer)
+        if stored is None:
             return False
-    return (yield from settle(call, won, call.row(DONE, kept)))
+    return (yield from settle(call, won, call.row(DONE, stored)))
 
 
-def keep_answer(call: Call, answer: Answer) -> Steps[Json | None]:
-    """Return what the row says of the answer, after putting a long one elsewhere."""
-    kept: Json = {
+def store_answer(call: Call, answer: Answer) -> Steps[Json | None]:
+    """Return the row's value for an answer; None if a long one could not be stored.
+
+    A long answer, or one that is not UTF-8, is put into the object store.
+    """
+    stored: Json = {
         "status": answer.status,
         "headers": [list(pair) for pair in answer.headers],
         "text": None,
         "object": None,
     }
     text = answer.body.decode("utf-8", "replace")
-    if len(answer.body) <= INLINE_CHARS and text.encode() == answer.body:
-        kept["text"] = text
-        return kept
-    kept["object"] = f"answers/{call.row_key}/{call.attempt_id}"
-    put = yield PutObject(kept["object"], answer.body)
-    return None if isinstance(put, Failure) else kept
+    if len(answer.body) <= MAX_INLINE_BYTES and text.encode() == answer.body:
+        stored["text"] = text
+        return stored
+    stored["object"] = f"answers/{call.row_key}/{call.attempt_id}"
+    put = yield PutObject(stored["object"], answer.body)
+    return None if isinstance(put, Failure) else stored
 
 
 def mark_unknown(call: Call, won: Won) -> Steps[bool]:
-    """Say that the call was sent and that its answer will never be known."""
+    """Record that the call was sent and that its answer will never be known."""
     return (yield from settle(call, won, call.row(UNKNOWN)))
 
 
 def settle(call: Call, won: Won, row: Json) -> Steps[bool]:
-    """End a claim of this attempt; True once its row says how it ended."""
+    """End this attempt's claim; return True once its row holds the end state."""
     result = yield Transact({call.row_key: won.version}, {call.row_key: row})
     if isinstance(result, Written):
         return True
     if result is Failure.NOT_DONE:
         return False
-    # Only this attempt writes to its claim, so a changed row was changed by us.
+    # Only this attempt writes to its claim, so a changed version is its own write.
     found = yield Read([call.row_key])
     return isinstance(found, Rows) and found.version(call.row_key) != won.version
 
 
 def release(call: Call) -> Steps[bool]:
-    """Take back a claim of which certainly no byte was sent; False means try again.
+    """Release the claim of a call that was certainly not sent; False means try again.
 
-    The row stays, as released. Were it deleted, a claim of this attempt that is still
-    on its way could arrive afterwards, find no row, and stand for ever for a call
+    The row stays, as released. If it were deleted, a delayed write of this attempt's
+    claim could arrive afterwards, find no row, and leave a claim for ever for a call
     that never ran.
     """
     found = yield Read([call.row_key])
@@ -267,7 +269,7 @@
 
 @dataclass
 class Settlement:
-    """What is left to be written of a call that ended here."""
+    """The write that ends a call's claim."""
 
     call: Call
     won: Won | None = None
@@ -276,7 +278,7 @@
     tries: int = field(default=0)
 
     def steps(self) -> Steps[bool]:
-        """Return the protocol that writes it, which is repeated until it says True."""
+        """Return the steps that write it; they are repeated until they return True."""
         if self.won is None or not self.ran:
             return release(self.call)
         if self.answer is None:
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -43,10 +43,10 @@
 async def test_call_is_refused_as_not_run_while_the_table_is_away(
     system: DevSystem, http: httpx.AsyncClient
 ) -> None:
-    """Without the table no claim can be taken, and without a claim nothing is sent.
+    """Without the table no call can be claimed, and without a claim none is sent.
 
-    The caller hears at once that the call was not run and when to come back; a call
-    that may be repeated is served all the while.
+    The caller is answered at once that the call was not run, with a Retry-After; an
+    idempotent call is served meanwhile.
     """
     async with running(system):
         [url] = charge_urls(system)
@@ -68,7 +68,7 @@
 async def test_lost_answers_of_the_table_never_run_a_call_twice(
     system: DevSystem, http: httpx.AsyncClient
 ) -> None:
-    """The claim is written but its answer is lost; the entry reads it back."""
+    """The claim is written but the table's answer is lost; the entry reads the row."""
     async with running(system):
         [url] = charge_urls(system)
         system.platform.faults.lose_answers = 1
@@ -82,10 +82,10 @@
 async def test_call_whose_server_broke_is_unknown_for_ever(
     http: httpx.AsyncClient,
 ) -> None:
-    """The service takes the call and dies before it answers.
+    """The service receives the call and closes the connection without an answer.
 
-    Nobody can know whether the charge was made, so every later try hears that the
-    outcome is unknown, from every entry, and none of them sends it again.
+    Whether the charge was made cannot be known, so every entry answers each retry that
+    the outcome is unknown, and none sends the call again.
     """
     system = DevSystem(entries=2)
     calls: list[bytes] = []
@@ -120,7 +120,7 @@
 async def test_call_goes_on_without_its_caller_and_its_answer_is_kept(
     system: DevSystem, http: httpx.AsyncClient
 ) -> None:
-    """The caller times out while its charge runs, and asks again with the same key."""
+    """The caller times out while its charge runs, and retries with the same key."""
     async with running(system):
         [url] = charge_urls(system)
         system.service.faults.work_s = 0.6
@@ -184,7 +184,7 @@
 
 
 async def version_in_force(system: DevSystem, number: int) -> None:
-    """Wait until every entry has the configuration of that number."""
+    """Wait until every entry has the configuration of version `number`."""
     with anyio.fail_after(10):
         while any(entry.follower.version < number for entry in system.entries):
             await anyio.sleep(0.02)
--- a/tests/test_claims_model.py
+++ b/tests/test_claims_model.py
@@ -1,4 +1,4 @@
-"""Claims while entries crash, messages are lost or late, and callers send again."""
+"""Model of claims while entries crash, messages are lost or late, and callers retry."""
 
 from dataclasses import dataclass
 from itertools import count
@@ -33,7 +33,7 @@
 
 @dataclass
 class Attempt:
-    """An entry's work on one arrival of a call."""
+    """One arrival of a call at an entry, with its step in flight."""
 
     call: Call
     steps: Any
@@ -232,10 +232,10 @@
 
 
 def test_a_claim_that_never_ran_is_free_again_even_if_it_arrives_late() -> None:
-    """The entry's claim gets no answer, so the caller is told "not run".
+    """The entry's claim gets no answer, so the caller is answered "not run".
 
-    The claim is taken back before it has even arrived. Then it arrives, and must not
-    stand in the way of the caller's next try.
+    The claim is released before its write has arrived. When the write arrives, it must
+    not block the caller's next attempt.
     """
     platform = FakePlatform()
     call = Call("team", "key", "body", "attempt-1")
