--- a/src/godwitmast/relay/__init__.py
+++ b/src/godwitmast/relay/__init__.py
@@ -1,1 +1,1 @@
-"""One VM of an availability zone that writes to the platform for the others."""
+"""The relay: the VM of an availability zone that writes to the platform for all."""
--- a/src/godwitmast/relay/codec.py
+++ b/src/godwitmast/relay/codec.py
@@ -1,4 +1,4 @@
-"""Frames to CBOR and back, with everything that comes checked."""
+"""CBOR codec of the relay's frames, which validates everything that it decodes."""
 
 import zlib
 
@@ -9,14 +9,15 @@
 from godwitmast.relay.messages import Frame, TransactAsked
 
 MAX_FRAME_BYTES = 8 * 1024 * 1024
-"""A whole configuration of 6,300 teams with their keys is about 2 MB."""
+"""A configuration snapshot of 6,300 teams with their keys is about 2 MB."""
 
 
 COMPRESSED_FROM_BYTES = 8 * 1024
-"""A relay sends the same large frame to every VM of its zone over one small link."""
+"""Larger frames are compressed: a relay sends the same one to every VM of its zone over
+one slow link."""
 
 ZLIB_START = b"\x78"
-"""The first byte of what zlib makes; a frame in CBOR is an array and begins otherwise."""
+"""First byte of zlib's output; an uncompressed frame starts as a CBOR array instead."""
 
 
 def encode_frame(frame: Frame) -> bytes:
@@ -25,26 +26,28 @@
 
 
 def decompress(data: bytes) -> bytes:
-    """Return a frame as it was before compression, if that is of a size that may be."""
+    """Return a decompressed frame; raise PeerError if it is too large or truncated."""
     reader = zlib.decompressobj()
     frame = reader.decompress(data, MAX_FRAME_BYTES)
     if reader.unconsumed_tail or not reader.eof:
-        raise PeerError(f"a compressed frame of over {MAX_FRAME_BYTES} bytes, or cut")
+        raise PeerError(
+            f"compressed frame is over {MAX_FRAME_BYTES} bytes or truncated"
+        )
     return frame
 
 
 def decode_frame(data: bytes | str) -> Frame:
-    """Return the checked frame, or raise PeerError whatever `data` holds."""
+    """Return the validated frame; raise PeerError for any other data."""
     if isinstance(data, str) or len(data) > MAX_FRAME_BYTES:
-        raise PeerError(f"a frame of {len(data)} bytes")
+        raise PeerError(f"text frame or frame too large: {len(data)} bytes")
     try:
         if data.startswith(ZLIB_START):
             data = decompress(data)
         frame: Frame = msgspec.convert(cbor2.loads(data), Frame)
         if isinstance(frame, TransactAsked):
-            # CBOR has values that the platform's JSON has not.
+            # CBOR has values that the platform's JSON cannot hold.
             msgspec.json.encode(frame.writes)
         return frame
     except Exception as error:
-        # The codec raises a dozen kinds for what a stranger can send.
-        raise PeerError(f"a malformed frame: {error!r:.200}") from None
+        # Hostile input makes the codec raise a dozen kinds of errors.
+        raise PeerError(f"malformed frame: {error!r:.200}") from None
--- a/src/godwitmast/relay/copies.py
+++ b/src/godwitmast/relay/copies.py
@@ -1,4 +1,4 @@
-"""A copy of somebody else's table, with its last changes and its age, without I/O."""
+"""Local copy of a platform table, with its latest changes and its age, without I/O."""
 
 from collections import deque
 from collections.abc import Sequence
@@ -8,32 +8,33 @@
 from godwitmast.platform_api.port import Changes, FeedRow, Snapshot
 
 KEPT_CHANGES = 64
-"""Groups of changes that a copy still tells; who is further behind gets all rows."""
+"""Groups of changes that a copy keeps; a follower further behind gets all rows."""
 
 
 class Sharing(NamedTuple):
-    """How a relay shares what it follows.
+    """Time constants by which a relay shares the tables that it follows.
 
     Load pattern: hundreds of VMs follow the same two tables, and each change of a row
-    wakes them all: VMs times changes calls. Shared, each change costs one call a zone.
+    ends the long poll of each: VMs times changes calls. Through a relay, a change costs
+    one call a zone.
 
-    A relay asks again each `confirm_s` at the latest, and its followers go by what it
-    told for `fresh_s` after the platform's answer. Then they ask for themselves, so that
-    a relay that is frozen, cut off or slow delays a change by no more than that.
+    A relay polls the platform at least every `confirm_s`, and its followers use what it
+    sent for `fresh_s` after the platform's answer. Then they poll for themselves, so
+    that a relay that is paused, partitioned or slow delays a change by no more.
     """
 
     confirm_s: float
     fresh_s: float
     wait_s: float
-    """How long one call of a VM that follows by itself waits for a change."""
+    """How long one long poll of a VM without a relay waits for a change."""
 
-    def pays(self, followers: int) -> bool:
-        """Return whether a relay's calls are fewer than the ones that they replace."""
+    def saves_calls(self, followers: int) -> bool:
+        """Return whether a relay makes fewer calls than it saves its followers."""
         return followers * self.confirm_s >= self.wait_s
 
 
 class ChangedRows(NamedTuple):
-    """The rows that one answer changed, up to `version`."""
+    """Rows that changed with one answer of the platform, up to `version`."""
 
     version: int
     rows: Sequence[FeedRow]
@@ -41,42 +42,42 @@
 
 @dataclass
 class TableCopy:
-    """A table as of `version`; times are on the platform's clock, which all VMs know."""
+    """A table as of `version`; its times are by the platform's clock."""
 
     version: int = -1
     rows: dict[str, bytes] = field(default_factory=dict)
-    asked_at: float = float("-inf")
-    """When the platform last confirmed it to this VM."""
-    told_at: float = float("-inf")
-    """When the platform last confirmed it to the relay that told this VM."""
+    own_confirmed_at: float = float("-inf")
+    """When the platform last confirmed the table to this VM."""
+    relay_confirmed_at: float = float("-inf")
+    """When the platform last confirmed the table to the relay that sent it here."""
     changes: deque[ChangedRows] = field(default_factory=deque)
-    base: int = -1
-    """The version that the oldest kept change follows."""
+    oldest_base: int = -1
+    """Version before the oldest change that is kept."""
 
-    def replace(self, snapshot: Snapshot) -> bool:
-        """Take all rows, unless newer ones are known; return whether they were taken."""
+    def apply_snapshot(self, snapshot: Snapshot) -> bool:
+        """Replace all rows unless these are older; return whether they were."""
         if snapshot.version < self.version:
             return False
         self.rows = {
             row.key: row.content for row in snapshot.rows if row.content is not None
         }
         self.changes.clear()
-        self.version = self.base = snapshot.version
+        self.version = self.oldest_base = snapshot.version
         return True
 
-    def change(self, after: int, changes: Changes) -> bool:
-        """Take the rows that changed since `after`; return whether the copy is as new.
+    def apply_changes(self, after: int, changes: Changes) -> bool:
+        """Apply the rows that changed since `after`; return whether the copy is as new.
 
-        Rows come in order and say how they are now, so that some of them may be taken
-        twice; after a gap nothing is taken.
+        Rows arrive in order with their present content, so that applying some of them
+        twice is harmless. After a gap nothing is applied.
         """
         if self.version < after or changes.version < self.version:
             return False
         if changes.version > self.version:
-            self.put(changes)
+            self.append_changes(changes)
         return True
 
-    def put(self, changes: Changes) -> None:
+    def append_changes(self, changes: Changes) -> None:
         for row in changes.rows:
             if row.content is None:
                 self.rows.pop(row.key, None)
@@ -86,11 +87,11 @@
         if changes.rows:
             self.changes.append(ChangedRows(changes.version, changes.rows))
         while len(self.changes) > KEPT_CHANGES:
-            self.base = self.changes.popleft().version
+            self.oldest_base = self.changes.popleft().version
 
-    def since(self, after: int) -> Changes | None:
-        """Return what changed after a version, or None if that is not kept."""
-        if after < self.base:
+    def changes_since(self, after: int) -> Changes | None:
+        """Return the changes after version `after`, or None if they are not kept."""
+        if after < self.oldest_base:
             return None
         rows = [
             row for group in self.changes if group.version > after for row in group.rows
--- a/src/godwitmast/relay/driver.py
+++ b/src/godwitmast/relay/driver.py
@@ -1,4 +1,4 @@
-"""One VM's part in its zone's relay: claims the seat, serves, or follows."""
+"""Driver of `RelayMachine`: claims the relay row, serves followers, or follows."""
 
 import secrets
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 from godwitmast.relay.codec import encode_frame
 from godwitmast.relay.feed import SharedFeed
 from godwitmast.relay.links import OPTIONS, RelayLink, read_frames
-from godwitmast.relay.machine import BEAT_S, RelayMachine, Seat, Stage
+from godwitmast.relay.machine import HEARTBEAT_S, RelayMachine, RelayRow, Stage
 from godwitmast.relay.messages import (
     Beat,
     Frame,
@@ -38,23 +38,23 @@
 
 CHECK_EVERY_S = 0.25
 MAX_FOLLOWERS = 512
-LEAVE_S = 0.5
-"""How long a relay that stops tries to give its seat up."""
+LEAVE_TIMEOUT_S = 0.5
+"""How long a stopping relay tries to delete its row, and to close its links."""
 
-READ_AGE_GATHERS = 5
-"""How old rows may be that a relay reads for all, in times of gathering."""
+MAX_READ_AGE_GATHERS = 5
+"""Greatest age of rows that a relay reads for its followers, in gathering times."""
 
-LARGE_BYTES = 16 * 1024
+LARGE_FRAME_BYTES = 16 * 1024
 LARGE_WAIT_S = 0.5
-"""How long the others wait for a follower that does not read; a link of 10 Mbit/s takes
-600 KB in that time."""
+"""How long the others wait for a follower that does not read; a link of 10 Mbit/s
+transfers 600 KB in that time."""
 
-TRY_AGAIN = 1013
-"""Close code of a link to a VM that is not the relay."""
+CLOSE_TRY_AGAIN = 1013
+"""Websocket close code for a follower of a VM that is not the relay."""
 
 
 class RelayDriver:
-    """Links of one VM with the others of its zone, in the task group of `start`."""
+    """One VM's relay links, which run in the task group of `start`."""
 
     def __init__(
         self,
@@ -74,22 +74,22 @@
         self.listen = listen
         self.vms = vms
         holder = f"{node}/{secrets.token_hex(4)}"
-        self.machine = RelayMachine(zone, Seat(holder, ""))
+        self.machine = RelayMachine(zone, RelayRow(holder, ""))
         self.feed = feed
         self.feed.followers = lambda: len(self.links)
-        self.link = RelayLink(self.take_beat, feed.take_frame)
+        self.link = RelayLink(self.apply_heartbeat, feed.apply_frame)
         self.group = GroupCommit(store.transact, gather_s)
-        self.shared = SharedReads(store, clock, READ_AGE_GATHERS * gather_s)
+        self.shared = SharedReads(store, clock, MAX_READ_AGE_GATHERS * gather_s)
         self.table = RelayTable(store, clock, self, gather_s)
-        self.table.on_answer = self.note_answer
+        self.table.on_answer = self.record_own_answer
         self.server: Server | None = None
         self.links: set[ServerConnection] = set()
-        self.large = anyio.Lock()
+        self.large_frame_lock = anyio.Lock()
         self.encoded: dict[str, tuple[tuple[int | None, int, float], bytes]] = {}
-        self.dialled: anyio.CancelScope | None = None
-        self.dropped_for = ""
+        self.link_scope: anyio.CancelScope | None = None
+        self.drop_reason = ""
         self.stage = Stage.LOOKING
-        self.role = Gauge(
+        self.follower_gauge = Gauge(
             "godwit_relay_followers",
             "VMs that write through this one; -1 where this one is not the relay.",
             registry=registry,
@@ -97,54 +97,56 @@
 
     @property
     def shares(self) -> bool:
-        """Return whether this VM's writes go together with those of others."""
+        """Return whether this VM's writes are batched with those of others."""
         return self.machine.serving or self.table.through_link
 
     async def start(self, tasks: TaskGroup) -> None:
-        """Listen for the zone's VMs, and look who writes for them."""
+        """Listen for followers, and read which VM is the relay."""
         self.tasks = tasks
         listener = bind(self.listen)
         listener.listen(MAX_FOLLOWERS)
         port = listener.getsockname()[1]
-        own = self.machine.own
-        self.machine.own = own._replace(address=f"{self.listen.host}:{port}")
+        own_row = self.machine.own_row
+        self.machine.own_row = own_row._replace(address=f"{self.listen.host}:{port}")
         self.server = await serve(self.accept, sock=listener, **OPTIONS)
         await self.group.start(tasks)
         tasks.start_soon(self.run)
 
     async def close(self) -> None:
-        """Give the seat up, so that another VM takes it at once, and end all links."""
+        """Delete the relay row, so that another VM claims it, and close all links."""
         step = self.machine.leave()
         if step is not None:
-            with anyio.move_on_after(LEAVE_S):
+            with anyio.move_on_after(LEAVE_TIMEOUT_S):
                 await take_step(self.store, step)
         self.drop_link("stopping")
         if self.server is not None:
             self.server.close()
-            with anyio.move_on_after(LEAVE_S):
+            with anyio.move_on_after(LEAVE_TIMEOUT_S):
                 await self.server.wait_closed()
 
     async def run(self) -> None:
-        """Take each step when it is due, and dial or drop the link to the relay."""
+        """Run each step when it is due, and dial or drop the link to the relay."""
         while self.machine.stage is not Stage.LEAVING:
             now = self.clock.now()
-            if self.machine.silent(now):
+            if self.machine.is_silent(now):
                 self.drop_link("silent")
             step = self.machine.step(now)
             while step is not None:
-                step = await self.take(step)
-            self.note_stage()
-            if self.machine.address is not None and self.dialled is None:
-                self.dialled = anyio.CancelScope()
-                self.tasks.start_soon(self.follow, self.machine.address, self.dialled)
+                step = await self.run_step(step)
+            self.log_stage_change()
+            if self.machine.address is not None and self.link_scope is None:
+                self.link_scope = anyio.CancelScope()
+                self.tasks.start_soon(
+                    self.follow, self.machine.address, self.link_scope
+                )
             await anyio.sleep(CHECK_EVERY_S)
 
-    async def take(self, step: Step) -> Step | None:
+    async def run_step(self, step: Step) -> Step | None:
         result = await take_step(self.store, step)
-        return self.machine.took(result, self.clock.now())
+        return self.machine.apply_result(result, self.clock.now())
 
-    def note_stage(self) -> None:
-        """Log a change of stage, and end the links of a relay that is none any more."""
+    def log_stage_change(self) -> None:
+        """Log a change of stage; a VM that is no longer the relay closes its links."""
         stage = self.machine.stage
         if stage is self.stage:
             return
@@ -152,51 +154,51 @@
             for socket in self.links:
                 self.tasks.start_soon(socket.close)
         self.stage = stage
-        seat = self.machine.seat
-        address = seat.address if seat else None
+        relay_row = self.machine.relay_row
+        address = relay_row.address if relay_row else None
         log_event("relay_stage", stage=stage.value, zone=self.zone, relay=address)
         self.count_links()
 
     def count_links(self) -> None:
-        self.role.set(len(self.links) if self.machine.serving else -1)
+        self.follower_gauge.set(len(self.links) if self.machine.serving else -1)
 
     # A follower's side.
 
     async def follow(self, address: str, scope: anyio.CancelScope) -> None:
-        """Keep the link to the relay while it lasts."""
+        """Run the link to the relay until it closes."""
         reason = ""
         with scope:
             reason = await self.link.run(address, self.link_opened)
-        reason = reason or self.dropped_for
-        self.dialled = None
+        reason = reason or self.drop_reason
+        self.link_scope = None
         if self.machine.stage is not Stage.LEAVING:
             log_event("relay_lost", level="WARNING", relay=address, reason=reason)
         self.machine.link_lost(self.clock.now())
-        self.note_stage()
+        self.log_stage_change()
 
     def link_opened(self) -> None:
         self.machine.link_opened(self.clock.now())
-        self.note_stage()
+        self.log_stage_change()
 
-    def take_beat(self, beat: Beat) -> None:
-        self.machine.heard(beat.able, beat.vms, self.clock.now())
+    def apply_heartbeat(self, beat: Beat) -> None:
+        self.machine.record_heartbeat(beat.able, beat.vms, self.clock.now())
 
-    def note_answer(self) -> None:
-        """Leave a relay that the platform turns away, as it answered this VM."""
-        if self.machine.answered(self.clock.now()):
+    def record_own_answer(self) -> None:
+        """Drop the link to a relay without the platform if this VM is answered."""
+        if self.machine.record_own_answer(self.clock.now()):
             self.drop_link("turned away by the platform")
 
     def drop_link(self, reason: str) -> None:
-        if self.dialled is not None:
-            self.dropped_for = reason
-            self.dialled.cancel()
+        if self.link_scope is not None:
+            self.drop_reason = reason
+            self.link_scope.cancel()
 
     # A relay's side.
 
     async def accept(self, socket: ServerConnection) -> None:
         """Serve a follower until either end closes the link."""
         if not self.machine.serving:
-            await socket.close(TRY_AGAIN)
+            await socket.close(CLOSE_TRY_AGAIN)
             return
         self.links.add(socket)
         self.count_links()
@@ -205,10 +207,10 @@
                 tasks.start_soon(self.send_beats, socket)
                 tasks.start_soon(self.send_tables, socket)
 
-                async def take(frame: Frame) -> None:
-                    tasks.start_soon(self.answer, socket, frame)
+                async def answer_frame(frame: Frame) -> None:
+                    tasks.start_soon(self.answer_request, socket, frame)
 
-                await read_frames(socket, take)
+                await read_frames(socket, answer_frame)
                 tasks.cancel_scope.cancel()
         finally:
             self.links.discard(socket)
@@ -216,15 +218,15 @@
 
     async def send_beats(self, socket: ServerConnection) -> None:
         while True:
-            await self.tell(socket, Beat(not self.group.failing, self.vms()))
-            await anyio.sleep(BEAT_S)
+            await self.send_frame(socket, Beat(not self.group.failing, self.vms()))
+            await anyio.sleep(HEARTBEAT_S)
 
     async def send_tables(self, socket: ServerConnection) -> None:
-        """Tell a follower each answer of the platform, in order."""
+        """Send a follower each answer of the platform, in order."""
         sent: dict[str, int] = {}
         while True:
             changed = self.feed.changed
-            if self.feed.shares:
+            if self.feed.serves_followers:
                 for table in self.feed.known_tables():
                     frame = self.feed.frame_for(table, sent.get(table))
                     sent[table] = frame.version
@@ -234,21 +236,21 @@
     async def send_table(
         self, socket: ServerConnection, frame: TableTold | TableChanged
     ) -> None:
-        """Tell one follower of a table; large frames go to one after the other.
+        """Send one follower a table; large frames go to one follower after the other.
 
-        Sent to all at once they fill the VM's link for seconds, and with it the beats by
-        which the others know that their relay lives, and its callers' requests.
+        Sent to all at once, they fill the VM's link for seconds. That delays the
+        heartbeats by which followers detect a dead relay, and its callers' requests.
         """
         data = self.encode_table(frame)
-        if len(data) < LARGE_BYTES:
+        if len(data) < LARGE_FRAME_BYTES:
             await self.send(socket, data)
             return
-        async with self.large:
+        async with self.large_frame_lock:
             with anyio.move_on_after(LARGE_WAIT_S):
                 await self.send(socket, data)
 
     def encode_table(self, frame: TableTold | TableChanged) -> bytes:
-        """Return a frame's bytes, encoded once for all followers that are as far."""
+        """Return a frame's bytes, encoded once for followers of the same version."""
         after = frame.after if isinstance(frame, TableChanged) else None
         key = (after, frame.version, frame.confirmed_at)
         known = self.encoded.get(frame.table)
@@ -256,7 +258,7 @@
             known = self.encoded[frame.table] = (key, encode_frame(frame))
         return known[1]
 
-    async def tell(self, socket: ServerConnection, frame: Frame) -> None:
+    async def send_frame(self, socket: ServerConnection, frame: Frame) -> None:
         await self.send(socket, encode_frame(frame))
 
     async def send(self, socket: ServerConnection, data: bytes) -> None:
@@ -265,33 +267,35 @@
         except ConnectionClosed:
             return
 
-    async def answer(self, socket: ServerConnection, frame: Frame) -> None:
+    async def answer_request(self, socket: ServerConnection, frame: Frame) -> None:
         match frame:
             case TransactAsked():
-                await self.tell(socket, await self.transact_for(frame))
+                await self.send_frame(socket, await self.transact_for(frame))
             case ReadAsked():
-                await self.tell(socket, await self.read_for(frame))
+                await self.send_frame(socket, await self.read_for(frame))
             case _:
-                error = PeerError(f"a follower sent {type(frame).__name__}")
+                error = PeerError(
+                    f"unexpected frame from a follower: {type(frame).__name__}"
+                )
                 log_event("relay_bad_frame", level="WARNING", error=error)
                 await socket.close()
 
-    async def transact_for(self, asked: TransactAsked) -> TransactAnswered:
+    async def transact_for(self, request: TransactAsked) -> TransactAnswered:
         try:
-            outcome = await self.group.transact(asked.checks, asked.writes)
+            outcome = await self.group.transact(request.checks, request.writes)
         except PlatformUnavailable:
-            return TransactAnswered(asked.number, Outcome.NOT_DONE)
+            return TransactAnswered(request.number, Outcome.NOT_DONE)
         except PlatformError:
-            return TransactAnswered(asked.number, Outcome.UNKNOWN)
+            return TransactAnswered(request.number, Outcome.UNKNOWN)
         written = isinstance(outcome, Written)
-        kind = Outcome.WRITTEN if written else Outcome.CONFLICT
-        return TransactAnswered(asked.number, kind, outcome.versions)
+        outcome_kind = Outcome.WRITTEN if written else Outcome.CONFLICT
+        return TransactAnswered(request.number, outcome_kind, outcome.versions)
 
-    async def read_for(self, asked: ReadAsked) -> ReadAnswered:
+    async def read_for(self, request: ReadAsked) -> ReadAnswered:
         try:
-            rows = await self.shared.read(asked.keys)
+            rows = await self.shared.read(request.keys)
         except PlatformError:
-            return ReadAnswered(asked.number, False)
+            return ReadAnswered(request.number, False)
         return ReadAnswered(
-            asked.number, True, {k: (r.value, r.version) for k, r in rows.items()}
+            request.number, True, {k: (r.value, r.version) for k, r in rows.items()}
         )
--- a/src/godwitmast/relay/links.py
+++ b/src/godwitmast/relay/links.py
@@ -1,4 +1,4 @@
-"""A link between two VMs of an availability zone, over a websocket."""
+"""Websocket link between a follower and the relay of its availability zone."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -17,7 +17,7 @@
     Written,
 )
 from godwitmast.relay.codec import MAX_FRAME_BYTES, decode_frame, encode_frame
-from godwitmast.relay.machine import DIAL_S
+from godwitmast.relay.machine import DIAL_TIMEOUT_S
 from godwitmast.relay.messages import (
     Beat,
     Frame,
@@ -31,27 +31,27 @@
 )
 from godwitmast.types import Json
 
-CLOSE_S = 0.5
+CLOSE_TIMEOUT_S = 0.5
 
-QUIET = quiet_logger("godwitmast.relay.websockets")
+WEBSOCKET_LOGGER = quiet_logger("godwitmast.relay.websockets")
 
 OPTIONS: dict[str, Any] = {
     "max_size": MAX_FRAME_BYTES,
     "max_queue": 16,
     "compression": None,
     "ping_interval": None,
-    "close_timeout": CLOSE_S,
-    "logger": QUIET,
+    "close_timeout": CLOSE_TIMEOUT_S,
+    "logger": WEBSOCKET_LOGGER,
 }
 
 
 async def read_frames(
-    socket: Connection, take: Callable[[Frame], Awaitable[None]]
+    socket: Connection, handle: Callable[[Frame], Awaitable[None]]
 ) -> None:
-    """Hand over each frame until either end closes the link; a bad one closes it."""
+    """Pass on each frame until the link closes; a malformed one closes it."""
     try:
         async for data in socket:
-            await take(decode_frame(data))
+            await handle(decode_frame(data))
     except ConnectionClosed:
         return
     except PeerError as error:
@@ -60,8 +60,8 @@
         await socket.close()
 
 
-class Waiting:
-    """A question that is out, and its answer once there is one."""
+class PendingRequest:
+    """A request in flight, and its answer once there is one."""
 
     def __init__(self) -> None:
         self.answer: TransactAnswered | ReadAnswered | None = None
@@ -79,18 +79,18 @@
         self.on_beat = on_beat
         self.on_table = on_table
         self.socket: Connection | None = None
-        self.waiting: dict[int, Waiting] = {}
-        self.number = 0
+        self.pending: dict[int, PendingRequest] = {}
+        self.last_number = 0
 
     async def run(self, address: str, opened: Callable[[], None]) -> str:
-        """Serve the link while it lasts; return why it ended."""
+        """Connect and read frames until the link closes; return the reason."""
         try:
             async with connect(
-                f"ws://{address}/", proxy=None, open_timeout=DIAL_S, **OPTIONS
+                f"ws://{address}/", proxy=None, open_timeout=DIAL_TIMEOUT_S, **OPTIONS
             ) as socket:
                 self.socket = socket
                 opened()
-                await read_frames(socket, self.take)
+                await read_frames(socket, self.handle_frame)
                 return f"closed with {socket.close_code}"
         except (OSError, TimeoutError, WebSocketException, EOFError) as error:
             return repr(error)
@@ -99,60 +99,62 @@
             self.fail_waiting()
 
     def fail_waiting(self) -> None:
-        for waiting in self.waiting.values():
-            waiting.ended.set()
-        self.waiting.clear()
+        for pending in self.pending.values():
+            pending.ended.set()
+        self.pending.clear()
 
-    async def take(self, frame: Frame) -> None:
+    async def handle_frame(self, frame: Frame) -> None:
         match frame:
             case Beat():
                 self.on_beat(frame)
             case TableTold() | TableChanged():
                 self.on_table(frame)
             case TransactAnswered(number=number) | ReadAnswered(number=number):
-                waiting = self.waiting.pop(number, None)
-                if waiting is not None:
-                    waiting.answer = frame
-                    waiting.ended.set()
+                pending = self.pending.pop(number, None)
+                if pending is not None:
+                    pending.answer = frame
+                    pending.ended.set()
             case _:
-                raise PeerError(f"a relay sent {type(frame).__name__}")
+                raise PeerError(
+                    f"unexpected frame from a relay: {type(frame).__name__}"
+                )
 
     async def transact(
         self, checks: dict[str, int], writes: dict[str, Json], timeout_s: float
     ) -> TransactOutcome:
-        """Write through the relay; raise PlatformError like the platform itself."""
-        self.number += 1
-        asked = TransactAsked(self.number, checks, writes)
-        answer = await self.ask(asked, timeout_s)
+        """Write through the relay; raise PlatformError as the platform's client."""
+        self.last_number += 1
+        message = TransactAsked(self.last_number, checks, writes)
+        answer = await self.request(message, timeout_s)
         match answer:
             case TransactAnswered(outcome=Outcome.WRITTEN):
                 return Written(answer.versions)
             case TransactAnswered(outcome=Outcome.CONFLICT):
                 return Conflict(answer.versions)
             case TransactAnswered(outcome=Outcome.NOT_DONE):
-                raise PlatformUnavailable("the relay could not write")
-        raise PlatformOutcomeUnknown("the relay gave no outcome")
+                raise PlatformUnavailable("the relay did not write")
+        raise PlatformOutcomeUnknown("the relay reported no outcome")
 
     async def read(self, keys: list[str], timeout_s: float) -> dict[str, Row]:
-        """Read rows that are a few seconds old at most."""
-        self.number += 1
-        answer = await self.ask(ReadAsked(self.number, keys), timeout_s)
+        """Read rows through the relay, at most a few seconds old."""
+        self.last_number += 1
+        answer = await self.request(ReadAsked(self.last_number, keys), timeout_s)
         if not isinstance(answer, ReadAnswered) or not answer.found:
-            raise PlatformUnavailable("the relay could not read")
+            raise PlatformUnavailable("the relay did not read")
         return {key: Row(*row) for key, row in answer.rows.items()}
 
-    async def ask(
-        self, asked: TransactAsked | ReadAsked, timeout_s: float
+    async def request(
+        self, message: TransactAsked | ReadAsked, timeout_s: float
     ) -> TransactAnswered | ReadAnswered | None:
-        """Return the relay's answer, or None if none came."""
-        waiting = self.waiting[asked.number] = Waiting()
+        """Return the relay's answer, or None without one in `timeout_s`."""
+        pending = self.pending[message.number] = PendingRequest()
         try:
             with anyio.move_on_after(timeout_s):
                 if self.socket is not None:
-                    await self.socket.send(encode_frame(asked))
-                    await waiting.ended.wait()
+                    await self.socket.send(encode_frame(message))
+                    await pending.ended.wait()
         except ConnectionClosed:
             return None
         finally:
-            self.waiting.pop(asked.number, None)
-        return waiting.answer
+            self.pending.pop(message.number, None)
+        return pending.answer
--- a/src/godwitmast/relay/machine.py
+++ b/src/godwitmast/relay/machine.py
@@ -1,13 +1,13 @@
-"""Which VM of an availability zone writes to the platform for the others, without I/O.
+"""State machine that elects one VM of an availability zone as its relay, without I/O.
 
 Load pattern: hundreds of VMs each write a row every second. Each call is paid for, and
-all their transactions go to the same part of one table. One VM a zone sends them
-together, which makes as many calls as there are zones.
+all their transactions go to the same partition of one table. The relay of a zone sends
+them in one transaction, so that there are as many calls as zones.
 
-The seat of a zone is a row of the platform's table that names the relay. It is claimed
-by compare-and-set, and needs no renewal: whoever loses its link to the relay claims the
-seat. Two relays in one zone do no harm, as a relay only carries transactions that
-compare versions; one that lost its seat finds out at its next look.
+The relay row of a zone, in the platform's table, names its relay. It is claimed by
+compare-and-set and needs no renewal: a VM that loses its link to the relay claims it.
+Two relays in a zone do no harm, since a relay only forwards transactions that compare
+versions; one that was replaced notices at its next read of the row.
 """
 
 import random
@@ -19,28 +19,28 @@
 from godwitmast.platform_api.steps import Failure, Read, Result, Rows, Step, Transact
 from godwitmast.types import Json
 
-SEAT_PREFIX = "relay/"
+ROW_PREFIX = "relay/"
 
-BEAT_S = 1.0
-SILENCE_S = 2.5
-"""A relay that was not heard for so long is taken for lost."""
+HEARTBEAT_S = 1.0
+HEARTBEAT_TIMEOUT_S = 2.5
+"""A link without a heartbeat for this long counts as lost."""
 
-DIAL_S = 1.0
+DIAL_TIMEOUT_S = 1.0
 CLAIM_WAIT_S = (0.1, 0.8)
-"""Drawn by each VM that lost its relay, so that they do not all claim at once."""
+"""Random wait of each VM that lost its relay, so that they do not all claim at once."""
 
 RETRY_S = (0.5, 1.5)
-"""Drawn after a call that the platform did not answer."""
+"""Random wait after a call that the platform did not answer."""
 
-LOOK_S = (8.0, 12.0)
-"""How often a relay asks whether the seat is still its own."""
+OWNER_CHECK_S = (8.0, 12.0)
+"""Random interval at which a relay reads whether the row still names it."""
 
-ABSENT_S = 3.0
-"""How long a relay may be turned away by a platform that answers others."""
+UNAVAILABLE_S = 3.0
+"""How long a relay may fail to reach a platform that answers its followers."""
 
 
 class Stage(Enum):
-    """What a VM is to its zone."""
+    """Role of a VM in its zone."""
 
     LOOKING = "looking"
     LINKING = "linking"
@@ -49,53 +49,53 @@
     LEAVING = "leaving"
 
 
-class Seat(NamedTuple):
-    """Who is the relay of a zone, and where; `holder` is new at each process start."""
+class RelayRow(NamedTuple):
+    """Relay of a zone and its address; `holder` is unique to each process start."""
 
     holder: str
     address: str
 
 
-def read_seat(value: Json) -> Seat | None:
-    """Return who holds a seat; a row that names nobody, or cannot be read, is vacant."""
+def parse_relay_row(value: Json) -> RelayRow | None:
+    """Return the relay that a row names; None if the row is empty or malformed."""
     match value:
         case {"holder": str(holder), "address": str(address)}:
-            return Seat(holder, address)
+            return RelayRow(holder, address)
     return None
 
 
 class RelayMachine:
-    """One VM's part in its zone.
+    """One VM, which claims the relay row, serves its zone, or follows the relay.
 
-    `step` returns the next table step when one is due, and `took` takes its result.
-    `address` is to be dialled in the stage LINKING.
+    `step` returns the next table step when one is due, and `apply_result` applies its
+    result. In the stage LINKING the driver dials `address`.
     """
 
     def __init__(
         self,
         zone: str,
-        own: Seat,
-        draw: Callable[[float, float], float] = random.uniform,
+        own_row: RelayRow,
+        random_between: Callable[[float, float], float] = random.uniform,
     ) -> None:
-        self.key = SEAT_PREFIX + zone
-        self.own = own
-        self.draw = draw
+        self.key = ROW_PREFIX + zone
+        self.own_row = own_row
+        self.random_between = random_between
         self.stage = Stage.LOOKING
         self.next_at: float | None = None
-        self.out: Step | None = None
-        self.seat: Seat | None = None
+        self.pending_step: Step | None = None
+        self.relay_row: RelayRow | None = None
         self.version = 0
-        self.lost_version = -1
-        self.heard_at = 0.0
+        self.abandoned_version = -1
+        self.received_at = 0.0
         self.checked_at = 0.0
-        self.relay_able = False
-        self.absent_since: float | None = None
+        self.relay_can_write = False
+        self.unavailable_since: float | None = None
         self.vms = 0
 
     @property
     def linked(self) -> bool:
-        """Return whether the relay can be asked to write."""
-        return self.stage is Stage.FOLLOWING and self.relay_able
+        """Return whether this VM can write through the relay."""
+        return self.stage is Stage.FOLLOWING and self.relay_can_write
 
     @property
     def serving(self) -> bool:
@@ -103,114 +103,117 @@
 
     @property
     def address(self) -> str | None:
-        """Return the address to dial, if the relay is to be dialled."""
-        if self.stage is not Stage.LINKING or self.seat is None:
+        """Return the relay's address while it must be dialled, else None."""
+        if self.stage is not Stage.LINKING or self.relay_row is None:
             return None
-        return self.seat.address
+        return self.relay_row.address
 
     def step(self, now: float) -> Step | None:
         """Return the table step to take now, if one is due."""
         if self.next_at is None:
-            self.next_at = now + self.draw(*CLAIM_WAIT_S)
-        busy = self.out is not None or now < self.next_at
+            self.next_at = now + self.random_between(*CLAIM_WAIT_S)
+        busy = self.pending_step is not None or now < self.next_at
         if busy or self.stage not in (Stage.LOOKING, Stage.SERVING):
             return None
-        self.out = Read([self.key])
-        return self.out
+        self.pending_step = Read([self.key])
+        return self.pending_step
 
-    def took(self, result: Result, now: float) -> Step | None:
-        """Take the result of the step that is out; return the one to follow it."""
-        step, self.out = self.out, None
+    def apply_result(self, result: Result, now: float) -> Step | None:
+        """Apply the result of the step in flight; return the next step, if any."""
+        step, self.pending_step = self.pending_step, None
         if self.stage is Stage.LEAVING:
             return None
         match step, result:
             case Read(), Rows():
-                return self.observe(result, now)
+                return self.apply_row(result, now)
             case Transact(), Written():
                 self.version = result.versions[self.key]
                 self.serve(now)
             case Transact(), Conflict():
-                self.next_at = now + self.draw(*CLAIM_WAIT_S)
+                self.next_at = now + self.random_between(*CLAIM_WAIT_S)
             case _, Failure():
-                self.next_at = now + self.draw(*RETRY_S)
+                self.next_at = now + self.random_between(*RETRY_S)
         return None
 
-    def observe(self, rows: Rows, now: float) -> Step | None:
-        """Serve, follow, or claim the seat, by who holds it."""
+    def apply_row(self, rows: Rows, now: float) -> Step | None:
+        """Serve, follow, or claim the relay row, depending on whom it names."""
         self.version = rows.version(self.key)
-        self.seat = read_seat(rows.value(self.key))
-        if self.seat is not None and self.seat.holder == self.own.holder:
+        self.relay_row = parse_relay_row(rows.value(self.key))
+        if self.relay_row is not None and self.relay_row.holder == self.own_row.holder:
             self.serve(now)
             return None
-        vacant = self.seat is None or self.seat.address == self.own.address
-        if vacant or self.version == self.lost_version:
+        vacant = (
+            self.relay_row is None or self.relay_row.address == self.own_row.address
+        )
+        if vacant or self.version == self.abandoned_version:
             self.stage = Stage.LOOKING
-            writes = {self.key: self.own._asdict()}
-            self.out = Transact({self.key: self.version}, writes)
-            return self.out
+            writes = {self.key: self.own_row._asdict()}
+            self.pending_step = Transact({self.key: self.version}, writes)
+            return self.pending_step
         self.stage = Stage.LINKING
-        self.heard_at = now
+        self.received_at = now
         return None
 
     def serve(self, now: float) -> None:
         self.stage = Stage.SERVING
-        self.seat = self.own
-        self.next_at = now + self.draw(*LOOK_S)
+        self.relay_row = self.own_row
+        self.next_at = now + self.random_between(*OWNER_CHECK_S)
 
     def link_opened(self, now: float) -> None:
-        """Note that the relay was reached; it is asked only once it was heard."""
+        """Record an open link; the relay is used only after its first heartbeat."""
         if self.stage is Stage.LINKING:
             self.stage = Stage.FOLLOWING
-            self.heard_at = now
-            self.relay_able = False
-            self.absent_since = None
+            self.received_at = now
+            self.relay_can_write = False
+            self.unavailable_since = None
 
     def link_lost(self, now: float) -> None:
-        """Look at the seat again, and claim it if it has not changed hands."""
+        """Read the relay row again soon, and claim it if it has not changed."""
         if self.stage not in (Stage.LINKING, Stage.FOLLOWING):
             return
         self.stage = Stage.LOOKING
-        self.relay_able = False
-        self.lost_version = self.version
-        self.next_at = now + self.draw(*CLAIM_WAIT_S)
-
-    def heard(self, able: bool, vms: int, now: float) -> None:
-        """Take a beat of the relay; `vms` is 0 if it does not know."""
-        self.heard_at = now
-        self.relay_able = able
+        self.relay_can_write = False
+        self.abandoned_version = self.version
+        self.next_at = now + self.random_between(*CLAIM_WAIT_S)
+
+    def record_heartbeat(self, able: bool, vms: int, now: float) -> None:
+        """Apply a heartbeat of the relay; `vms` is 0 if it does not know the number."""
+        self.received_at = now
+        self.relay_can_write = able
         self.vms = vms or self.vms
         if able:
-            self.absent_since = None
+            self.unavailable_since = None
 
-    def answered(self, now: float) -> bool:
-        """Note that the platform answered this VM; return whether to drop the link.
+    def record_own_answer(self, now: float) -> bool:
+        """Record that the platform answered this VM; return whether to drop the link.
 
-        A relay that is turned away by a platform which answers others is replaced.
+        The link is dropped, and the relay replaced, once the platform has answered this
+        VM but not the relay for `UNAVAILABLE_S`.
         """
-        if self.stage is not Stage.FOLLOWING or self.relay_able:
+        if self.stage is not Stage.FOLLOWING or self.relay_can_write:
             return False
-        if self.absent_since is None:
-            self.absent_since = now
-        return now >= self.absent_since + ABSENT_S
+        if self.unavailable_since is None:
+            self.unavailable_since = now
+        return now >= self.unavailable_since + UNAVAILABLE_S
 
-    def silent(self, now: float) -> bool:
-        """Return whether the relay was not heard for too long.
+    def is_silent(self, now: float) -> bool:
+        """Return whether the relay's heartbeat or the link to it is overdue.
 
-        A VM that was frozen itself first reads what has come meanwhile.
+        A VM that was itself paused first reads the heartbeats that arrived meanwhile.
         """
-        paused = now > self.checked_at + BEAT_S
+        paused = now > self.checked_at + HEARTBEAT_S
         self.checked_at = now
         if paused:
-            self.heard_at = now
-        limit_s = DIAL_S if self.stage is Stage.LINKING else SILENCE_S
+            self.received_at = now
+        limit_s = DIAL_TIMEOUT_S if self.stage is Stage.LINKING else HEARTBEAT_TIMEOUT_S
         waits = self.stage in (Stage.LINKING, Stage.FOLLOWING)
-        return waits and now >= self.heard_at + limit_s
+        return waits and now >= self.received_at + limit_s
 
     def leave(self) -> Step | None:
-        """Stop for good; return the step that gives the seat up, if it is held."""
+        """Stop for good; a relay returns the step that deletes its row."""
         held = self.serving
         self.stage = Stage.LEAVING
         if not held:
             return None
-        self.out = Transact({self.key: self.version}, {self.key: None})
-        return self.out
+        self.pending_step = Transact({self.key: self.version}, {self.key: None})
+        return self.pending_step
--- a/src/godwitmast/relay/messages.py
+++ b/src/godwitmast/relay/messages.py
@@ -1,4 +1,4 @@
-"""What the VMs of an availability zone tell each other.
+"""Messages between the relay of an availability zone and its followers.
 
 On the wire a frame is one CBOR array: a tag, then the fields in order.
 """
@@ -19,17 +19,17 @@
 
 
 class Outcome(IntEnum):
-    """What became of a transaction."""
+    """Outcome of a transaction."""
 
     WRITTEN = 0
     CONFLICT = 1
     NOT_DONE = 2
     UNKNOWN = 3
-    """It may have taken effect, or may yet."""
+    """It may have taken effect, or may still do so."""
 
 
 class TransactAsked(Struct, array_like=True, frozen=True, tag=1):
-    """Write `writes` if every row of `checks` still has its version."""
+    """Request to write `writes` if every row of `checks` still has its version."""
 
     number: Number
     checks: Versions
@@ -37,7 +37,7 @@
 
 
 class TransactAnswered(Struct, array_like=True, frozen=True, tag=2):
-    """The outcome of a transaction; `versions` as in `Written` and `Conflict`."""
+    """Outcome of a transaction; `versions` as in `Written` and `Conflict`."""
 
     number: Number
     outcome: Outcome
@@ -45,7 +45,7 @@
 
 
 class ReadAsked(Struct, array_like=True, frozen=True, tag=3):
-    """Read rows, as they were at most a few seconds ago."""
+    """Request for rows, which may be a few seconds old."""
 
     number: Number
     keys: Annotated[list[Key], Meta(max_length=MAX_CHECKS)]
@@ -60,11 +60,11 @@
 
 
 class Beat(Struct, array_like=True, frozen=True, tag=5):
-    """The relay lives; `able` says that the platform answers it."""
+    """Heartbeat of the relay; `able` says that the platform answers it."""
 
     able: bool
     vms: Annotated[int, Meta(ge=0, le=MAX_VMS)]
-    """How many VMs there are in all zones; 0 if that is not known."""
+    """Number of VMs in all zones; 0 if unknown."""
 
 
 class TableTold(Struct, array_like=True, frozen=True, tag=6):
@@ -74,7 +74,7 @@
     version: Number
     rows: list[tuple[str, bytes | None]]
     confirmed_at: float
-    """When the platform said so, in seconds on its own clock."""
+    """When the platform confirmed the rows, in seconds by its own clock."""
 
 
 class TableChanged(Struct, array_like=True, frozen=True, tag=7):
--- a/src/godwitmast/relay/table.py
+++ b/src/godwitmast/relay/table.py
@@ -1,4 +1,4 @@
-"""The platform's table as one VM uses it: through its zone's relay, or by itself."""
+"""The platform's table as one VM uses it, through its zone's relay or directly."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -15,41 +15,41 @@
 from godwitmast.relay.machine import RelayMachine
 from godwitmast.types import Json
 
-MAX_BYTES = 8 * 1024
-"""Of one transaction that a relay carries. A larger one may be more than a row can hold,
-and would fail every other one that goes with it."""
+MAX_WRITE_BYTES = 8 * 1024
+"""Bound of a transaction through the relay. A larger one may exceed the store's row
+limit, and would fail all the transactions that are batched with it."""
 
-ANSWER_S = 1.5
-"""What a relay may take to answer, beyond the time for which it gathers."""
+ANSWER_TIMEOUT_S = 1.5
+"""Time for a relay to answer, beyond its gathering of writes."""
 
-ALONE_S = 3.0
-"""For how long a VM writes by itself after its relay could not."""
+DIRECT_WRITE_S = 3.0
+"""How long a VM writes directly after its relay failed to."""
 
 
 class SharedReads:
-    """Rows that many VMs ask for, read once in a while."""
+    """Cache of rows that many VMs read, by the set of keys."""
 
     def __init__(self, store: Table, clock: Clock, age_s: float) -> None:
         self.store = store
         self.clock = clock
         self.age_s = age_s
         self.reading = anyio.Lock()
-        self.known: dict[tuple[str, ...], tuple[float, dict[str, Row]]] = {}
+        self.recent: dict[tuple[str, ...], tuple[float, dict[str, Row]]] = {}
 
     async def read(self, keys: list[str]) -> dict[str, Row]:
-        """Return rows that are `age_s` old at most."""
+        """Return rows that are at most `age_s` old."""
         name = tuple(keys)
         async with self.reading:
             now = self.clock.now()
             limit = now - self.age_s
-            self.known = {k: v for k, v in self.known.items() if v[0] > limit}
-            if name not in self.known:
-                self.known[name] = (now, await self.store.read(keys))
-            return self.known[name][1]
+            self.recent = {k: v for k, v in self.recent.items() if v[0] > limit}
+            if name not in self.recent:
+                self.recent[name] = (now, await self.store.read(keys))
+            return self.recent[name][1]
 
 
 class OwnRelay(Protocol):
-    """What this VM knows of its zone, and its link to the relay."""
+    """This VM's role in its zone, and its link to the relay."""
 
     machine: RelayMachine
     link: RelayLink
@@ -58,9 +58,9 @@
 
 
 class RelayTable:
-    """A `Table` that writes together with the other VMs of the zone.
+    """A `Table` whose writes are batched with those of the zone's other VMs.
 
-    Reads are answered by the platform itself, as they settle what became of a write.
+    Reads go to the platform itself, since they determine the outcome of a write.
     """
 
     def __init__(
@@ -69,21 +69,21 @@
         self.store = store
         self.clock = clock
         self.relay = relay
-        self.timeout_s = gather_s + ANSWER_S
-        self.alone_until = 0.0
+        self.timeout_s = gather_s + ANSWER_TIMEOUT_S
+        self.direct_until = 0.0
         self.on_answer: Callable[[], None] = lambda: None
         self.on_failure: Callable[[], None] = lambda: None
-        """Called when the relay could not write."""
+        """Called when the relay failed to write."""
 
     @property
     def through_link(self) -> bool:
-        return self.relay.machine.linked and self.clock.now() >= self.alone_until
+        return self.relay.machine.linked and self.clock.now() >= self.direct_until
 
     async def transact(
         self, checks: dict[str, int], writes: dict[str, Json]
     ) -> TransactOutcome:
-        """Write through the relay if there is one, which waits for others' writes."""
-        if len(msgspec.json.encode(writes)) > MAX_BYTES:
+        """Write through the relay if it is available, which gathers others' writes."""
+        if len(msgspec.json.encode(writes)) > MAX_WRITE_BYTES:
             return await self.transact_alone(checks, writes)
         if self.relay.machine.serving:
             return await self.relay.group.transact(checks, writes)
@@ -92,14 +92,14 @@
         try:
             return await self.relay.link.transact(checks, writes, self.timeout_s)
         except PlatformUnavailable:
-            self.note_failure()
+            self.record_failure()
         except PlatformError:
-            self.note_failure()
+            self.record_failure()
             raise
         return await self.transact_alone(checks, writes)
 
-    def note_failure(self) -> None:
-        self.alone_until = self.clock.now() + ALONE_S
+    def record_failure(self) -> None:
+        self.direct_until = self.clock.now() + DIRECT_WRITE_S
         self.on_failure()
 
     async def transact_alone(
@@ -113,7 +113,7 @@
         return await self.store.read(keys)
 
     async def read_recent(self, keys: list[str]) -> dict[str, Row]:
-        """Return rows that may be a few seconds old, read once for the zone."""
+        """Return rows that may be a few seconds old, which the relay reads for all."""
         if self.relay.machine.serving:
             return await self.relay.shared.read(keys)
         if self.through_link:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""VMs of a zone that write through one of them, over real sockets."""
+"""A relay and its followers in one zone, over real sockets."""
 
 import random
 import zlib
@@ -30,7 +30,7 @@
 from godwitmast.relay.driver import RelayDriver
 from godwitmast.relay.feed import SharedFeed
 from godwitmast.relay.messages import Beat, TableTold, TransactAsked
-from godwitmast.relay.table import MAX_BYTES
+from godwitmast.relay.table import MAX_WRITE_BYTES
 from godwitmast.settings import Listen
 from godwitmast.types import Json
 from running import running
@@ -43,7 +43,7 @@
 
 
 class StoreOfOne:
-    """The table as one VM reaches it."""
+    """The platform's table as one VM reaches it, with its calls and faults."""
 
     def __init__(self, platform: FakePlatform) -> None:
         self.platform = platform
@@ -91,7 +91,7 @@
         ]
 
     async def settle(self, vms: list[RelayDriver]) -> RelayDriver:
-        """Wait until one VM serves the others; return it."""
+        """Wait until one VM is the relay of the others; return it."""
         with anyio.fail_after(WITHIN_S):
             while True:
                 serving = [vm for vm in vms if vm.machine.serving]
@@ -103,7 +103,7 @@
 
 @pytest.fixture(autouse=True)
 def short_waits(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Claim seats sooner, so that a zone settles in a moment."""
+    """Shorten the waits before a claim, so that a zone elects its relay soon."""
     monkeypatch.setattr(machine, "CLAIM_WAIT_S", (0.02, 0.1))
     monkeypatch.setattr(driver, "CHECK_EVERY_S", 0.02)
 
@@ -149,7 +149,7 @@
 
 
 async def test_conflict_of_one_vm_leaves_the_others_written(zone: ZoneOfThree) -> None:
-    """One VM's row was closed; its neighbours must not take theirs for closed."""
+    """One VM's row has changed; the others of its batch must not get a conflict."""
     zone.platform.table.transact({}, {"node/1": "closed"})
     outcomes: dict[int, TransactOutcome] = {}
 
@@ -166,7 +166,7 @@
 async def test_lost_answer_is_unknown_to_each_vm_and_never_taken_for_refused(
     zone: ZoneOfThree,
 ) -> None:
-    """The rows are written and the answer is lost: writing them as new counts twice."""
+    """The rows are written but the answer is lost: a new write would count twice."""
     relay = await zone.settle(zone.vms)
     zone.stores[zone.vms.index(relay)].fate = Fate.ANSWER_LOST
     errors: list[PlatformError] = []
@@ -216,19 +216,19 @@
     assert successor is not relay
     assert (
         zone.platform.table.rows["relay/a"].value["holder"]
-        == successor.machine.own.holder
+        == successor.machine.own_row.holder
     )
 
 
 async def test_row_that_is_too_large_does_not_fail_its_neighbours(
     zone: ZoneOfThree,
 ) -> None:
-    """The store refuses a transaction with a row over its limit as a whole."""
+    """The store refuses the whole transaction if one row is over its limit."""
     relay = await zone.settle(zone.vms)
     follower = next(vm for vm in zone.vms if vm is not relay)
     store = zone.stores[zone.vms.index(follower)]
     before = store.calls
-    await follower.table.transact({"node/x": 0}, {"node/x": "x" * MAX_BYTES})
+    await follower.table.transact({"node/x": 0}, {"node/x": "x" * MAX_WRITE_BYTES})
     assert store.calls == before + 1
 
 
@@ -243,7 +243,7 @@
 
 
 async def test_marks_that_vms_ask_for_at_once_are_read_once(zone: ZoneOfThree) -> None:
-    """All VMs of a zone start together, and ask in the same moment ever after."""
+    """All VMs of a zone started together, and so read in the same moment."""
     before = calls(zone)
 
     async def read(vm: RelayDriver, number: int) -> None:
@@ -257,12 +257,12 @@
     zone: ZoneOfThree,
 ) -> None:
     relay = await zone.settle(zone.vms)
-    address = relay.machine.own.address
+    address = relay.machine.own_row.address
     not_json = cbor2.dumps([1, 5, {"node/x": 0}, {"node/x": cbor2.undefined}])
-    for rubbish in (b"\xff", b"", cbor2.dumps([99, 1]), not_json):
+    for malformed in (b"\xff", b"", cbor2.dumps([99, 1]), not_json):
         async with connect(f"ws://{address}/", proxy=None) as socket:
             await socket.recv()
-            await socket.send(rubbish)
+            await socket.send(malformed)
             with anyio.fail_after(WITHIN_S):
                 await socket.wait_closed()
     assert await zone.settle(zone.vms) is relay
@@ -278,7 +278,7 @@
 
 
 async def test_group_commit_keeps_to_the_entries_that_a_transaction_may_hold() -> None:
-    """The store refuses transactions of more than a hundred checks and writes."""
+    """The store refuses transactions of more than 100 checks and writes together."""
     sizes: list[int] = []
 
     async def send(checks: dict[str, int], writes: dict[str, Json]) -> Written:
@@ -297,7 +297,7 @@
 
 
 async def test_group_commit_does_not_wait_for_others_after_a_failure() -> None:
-    """The table is back from an outage, and every row that waits is late already."""
+    """The table answers again after an outage, when all waiting rows are already late."""
     failures = [PlatformUnavailable("away")]
     sent_at: list[float] = []
 
@@ -318,7 +318,7 @@
 
 
 def large_config() -> bytes:
-    """Return a configuration of 1,700 routes as an operator writes it."""
+    """Return a configuration of 1,700 routes in an operator's format."""
     draw = random.Random(1)
     routes = [
         {
@@ -340,14 +340,15 @@
 
 
 def test_large_table_fits_a_small_link_many_times() -> None:
-    """A configuration grows by 1,700 routes, and a relay tells 20 VMs over 10 Mbit/s.
+    """A configuration grows by 1,700 routes; a relay sends it to 20 VMs over 10 Mbit/s.
 
-    The frames filled its link for ten seconds: its beats did not come, and each next
-    relay began with the same frames. Its own callers' requests stood still meanwhile.
+    Uncompressed, the frames filled its link for ten seconds. Its heartbeats were
+    delayed, so that it was replaced, and the next relay sent the same frames; its own
+    callers' requests were stalled meanwhile.
     """
-    told = TableTold("op", 9, [("config", large_config())], 3.5)
-    data = encode_frame(told)
-    assert decode_frame(data) == told
+    frame = TableTold("op", 9, [("config", large_config())], 3.5)
+    data = encode_frame(frame)
+    assert decode_frame(data) == frame
     assert 20 * 8 * len(data) <= 1.5 * 10_000_000
 
 
@@ -366,7 +367,7 @@
 async def test_large_frames_go_to_one_follower_after_the_other(
     zone: ZoneOfThree, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """One of them does not read; the other gets its frame all the same."""
+    """One follower does not read; the other still gets its frame."""
     relay = await zone.settle(zone.vms)
     first, second = relay.links
     sending: list[ServerConnection] = []
@@ -383,9 +384,9 @@
 
     monkeypatch.setattr(relay, "send", send)
     monkeypatch.setattr(driver, "LARGE_WAIT_S", 0.05)
-    told = TableTold("op", 9, [("config", random.randbytes(50_000))], 3.5)
+    frame = TableTold("op", 9, [("config", random.randbytes(50_000))], 3.5)
     with anyio.fail_after(WITHIN_S):
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(relay.send_table, first, told)
-            tasks.start_soon(relay.send_table, second, told)
+            tasks.start_soon(relay.send_table, first, frame)
+            tasks.start_soon(relay.send_table, second, frame)
     assert most == 1
--- a/tests/test_relay_feed.py
+++ b/tests/test_relay_feed.py
@@ -1,4 +1,4 @@
-"""Tables that VMs follow through their zone's relay, and how old they may get."""
+"""Tables that VMs follow through their zone's relay, and the bound of their age."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -27,7 +27,7 @@
 
 
 class Clock:
-    """The platform's clock, which all VMs know."""
+    """The platform's clock, known exactly."""
 
     heard_at: float | None = 0.0
 
@@ -40,7 +40,7 @@
 
 @dataclass
 class Store:
-    """The table itself, and how many calls were made."""
+    """The platform's table with its history."""
 
     rows: dict[str, bytes] = field(default_factory=dict)
     history: list[tuple[int, FeedRow]] = field(default_factory=list)
@@ -70,7 +70,7 @@
 
 
 class OwnCalls:
-    """The store as one VM asks it."""
+    """The store as one VM reaches it, with the number of its calls."""
 
     def __init__(self, store: Store) -> None:
         self.store = store
@@ -92,7 +92,7 @@
 
 
 class Pair:
-    """A relay that serves many, and one of its followers."""
+    """A relay of many VMs, and one of its followers."""
 
     def __init__(self) -> None:
         self.store = Store()
@@ -123,12 +123,12 @@
                 self.sent = frame.version
                 again = decode_frame(encode_frame(frame))
                 assert isinstance(again, TableTold | TableChanged)
-                self.follower.take_frame(again)
+                self.follower.apply_frame(again)
             await changed.wait()
 
     async def wait_until_fresh(self) -> int:
         with anyio.fail_after(WITHIN_S):
-            while self.follower.fresh_for(self.follower.copy_of(TABLE)) <= 0:
+            while self.follower.fresh_left_s(self.follower.copy_of(TABLE)) <= 0:
                 await anyio.sleep(0.01)
         return (await self.follower.snapshot(TABLE)).version
 
@@ -161,7 +161,7 @@
 
 
 async def test_follower_of_a_relay_that_goes_silent_asks_in_time(pair: Pair) -> None:
-    """A server leaves just after the relay was frozen or cut off."""
+    """A server is removed just after the relay was paused or partitioned."""
     version = await pair.wait_until_fresh()
     pair.cut = True
     pair.store.put("b")
@@ -170,50 +170,51 @@
     assert isinstance(answer, Changes)
     assert [item.key for item in answer.rows] == ["b"]
     assert not answer.shared
-    assert pair.follower.fresh_for(pair.follower.copy_of(TABLE)) <= 0
+    assert pair.follower.fresh_left_s(pair.follower.copy_of(TABLE)) <= 0
 
 
-def feed_told_at(told_at: float, now: float) -> SharedFeed:
-    """Return a follower's feed with a frame whose answer was given at `told_at`."""
+def feed_confirmed_at(confirmed_at: float, now: float) -> SharedFeed:
+    """Return a follower's feed with a frame that was confirmed at `confirmed_at`."""
     clock = Clock()
     clock.store_now = lambda: now  # type: ignore[method-assign]
     feed = SharedFeed(Store(), clock, SHARING)
-    feed.take_frame(TableTold(TABLE, 5, [("a", b"{}")], told_at))
+    feed.apply_frame(TableTold(TABLE, 5, [("a", b"{}")], confirmed_at))
     return feed
 
 
 def test_frame_that_was_held_up_on_the_way_is_as_old_as_its_answer() -> None:
-    """A link that lost packets delivers what the relay told two seconds ago.
+    """A link that lost packets delivers a relay's frame late.
 
-    Counted from its arrival it would pass for fresh, and a server that left since would
-    get requests until the next frame.
+    If its age were counted from its arrival, it would count as fresh, and a server that
+    was removed since would get requests until the next frame.
     """
-    feed = feed_told_at(10.0, 10.0 + SHARING.fresh_s + 0.01)
-    assert feed.fresh_for(feed.copy_of(TABLE)) <= 0
-    feed = feed_told_at(10.0, 10.0)
-    assert feed.fresh_for(feed.copy_of(TABLE)) == pytest.approx(SHARING.fresh_s)
+    feed = feed_confirmed_at(10.0, 10.0 + SHARING.fresh_s + 0.01)
+    assert feed.fresh_left_s(feed.copy_of(TABLE)) <= 0
+    feed = feed_confirmed_at(10.0, 10.0)
+    assert feed.fresh_left_s(feed.copy_of(TABLE)) == pytest.approx(SHARING.fresh_s)
 
 
-@pytest.mark.parametrize("told_at", [1e9, float("inf"), float("nan")])
-def test_frame_from_far_ahead_moves_no_clock(told_at: float) -> None:
-    """Usage is counted by the clock that frames bring; one hours off would lose it."""
+@pytest.mark.parametrize("confirmed_at", [1e9, float("inf"), float("nan")])
+def test_frame_from_far_ahead_moves_no_clock(confirmed_at: float) -> None:
+    """Usage is counted by the clock that frames set; hours of error would lose some."""
     with pytest.raises(PeerError):
-        feed_told_at(told_at, 10.0)
+        feed_confirmed_at(confirmed_at, 10.0)
 
 
 async def test_frame_without_a_time_sets_no_clock() -> None:
-    """The first frame of a VM that no answer of the platform has reached yet."""
+    """The frame is the first that a VM without an answer of the platform receives."""
     clock = AgreedClock(ManualClock())
     feed = SharedFeed(Store(), clock, SHARING)
     with pytest.raises(PeerError):
-        feed.take_frame(TableTold(TABLE, 5, [], float("-inf")))
+        feed.apply_frame(TableTold(TABLE, 5, [], float("-inf")))
     assert clock.heard_at is None
 
 
 async def test_table_that_the_platform_has_not_told_is_not_passed_on() -> None:
-    """A relay's metrics are read before its first answer has come.
+    """A relay's metrics are read before the platform's first answer.
 
-    The frame had no version, and each follower took it for rubbish and left the relay.
+    That created a frame without a version, for which each follower closed its link as
+    malformed.
     """
     relay = SharedFeed(Store(), Clock(), SHARING)
     relay.age_s(TABLE)
@@ -223,18 +224,18 @@
 
 
 async def test_own_answer_does_not_pass_for_a_relay_that_tells(pair: Pair) -> None:
-    """A VM without a relay must have a call open all the time."""
+    """A VM without a relay must have a long poll open all the time."""
     calls = OwnCalls(pair.store)
     alone = SharedFeed(calls, Clock(), SHARING)
     version = (await alone.snapshot(TABLE)).version
-    assert alone.fresh_for(alone.copy_of(TABLE)) <= 0
+    assert alone.fresh_left_s(alone.copy_of(TABLE)) <= 0
     with anyio.move_on_after(0.1):
         await alone.changes(TABLE, version, 10.0)
     assert calls.calls == 2
 
 
 async def test_relay_that_cannot_ask_tells_nothing_fresh(pair: Pair) -> None:
-    """The store turns away the relay and serves the others."""
+    """The store turns away the relay and answers its followers."""
     version = await pair.wait_until_fresh()
     pair.relay_calls.away = True
     await anyio.sleep(SHARING.confirm_s)
@@ -247,35 +248,37 @@
 
 
 async def test_relay_of_few_vms_leaves_them_to_follow_by_themselves() -> None:
-    """Confirmed each second for two followers, sharing would cost more calls."""
-    assert not SHARING.pays(2)
-    assert SHARING.pays(39)
+    """The relay's more frequent polls would cost more calls than two followers save."""
+    assert not SHARING.saves_calls(2)
+    assert SHARING.saves_calls(39)
 
 
 def test_changes_that_are_no_longer_kept_ask_for_all_rows() -> None:
     copy = TableCopy()
-    copy.replace(Snapshot([row("a")], 1))
+    copy.apply_snapshot(Snapshot([row("a")], 1))
     for number in range(KEPT_CHANGES + 5):
-        copy.change(copy.version, Changes([row("b", b"%d" % number)], number + 2))
-    assert copy.since(1) is None
-    kept = copy.since(copy.base)
+        copy.apply_changes(
+            copy.version, Changes([row("b", b"%d" % number)], number + 2)
+        )
+    assert copy.changes_since(1) is None
+    kept = copy.changes_since(copy.oldest_base)
     assert kept is not None
     assert len(kept.rows) == KEPT_CHANGES
 
 
 def test_older_rows_never_replace_newer_ones() -> None:
-    """A relay that is behind tells what this VM knows to be over."""
+    """A relay that is behind sends rows older than this VM's."""
     copy = TableCopy()
-    copy.replace(Snapshot([row("a", b"new")], 9))
-    assert not copy.replace(Snapshot([row("a", b"old")], 7))
-    assert not copy.change(5, Changes([row("a", b"old")], 8))
+    copy.apply_snapshot(Snapshot([row("a", b"new")], 9))
+    assert not copy.apply_snapshot(Snapshot([row("a", b"old")], 7))
+    assert not copy.apply_changes(5, Changes([row("a", b"old")], 8))
     assert copy.rows == {"a": b"new"}
 
 
 def test_changes_after_a_gap_are_not_taken() -> None:
     copy = TableCopy()
-    copy.replace(Snapshot([row("a")], 3))
-    assert not copy.change(5, Changes([row("b")], 6))
+    copy.apply_snapshot(Snapshot([row("a")], 3))
+    assert not copy.apply_changes(5, Changes([row("b")], 6))
     assert copy.rows.keys() == {"a"}
     assert copy.version == 3
 
--- a/tests/test_relay_machine.py
+++ b/tests/test_relay_machine.py
@@ -1,4 +1,4 @@
-"""Which VM of a zone writes for the others while VMs die, freeze and are cut off."""
+"""Election of a zone's relay while VMs are killed, paused and turned away."""
 
 import random
 from dataclasses import dataclass, field
@@ -9,29 +9,29 @@
 from godwitmast.platform_api.messages import Row
 from godwitmast.platform_api.steps import Rows, Transact
 from godwitmast.relay.machine import (
-    ABSENT_S,
-    BEAT_S,
-    LOOK_S,
-    SEAT_PREFIX,
-    SILENCE_S,
+    HEARTBEAT_S,
+    HEARTBEAT_TIMEOUT_S,
+    OWNER_CHECK_S,
+    ROW_PREFIX,
+    UNAVAILABLE_S,
     RelayMachine,
-    Seat,
+    RelayRow,
 )
 
 TICK_S = 0.25
 SETTLED_S = 8.0
-"""Within which each VM writes through a relay again, or is one."""
+"""Time until each VM is the relay, or writes through it again."""
 
 
 @dataclass
 class ZoneVm:
-    """One VM of the zone, and what is wrong with it."""
+    """One VM of the zone, with its faults."""
 
     name: str
     machine: RelayMachine
     relay: str | None = None
     dead: bool = False
-    frozen: bool = False
+    paused: bool = False
     turned_away: bool = False
     beat_at: float = 0.0
 
@@ -52,9 +52,9 @@
             self.add(f"vm-{number}")
 
     def add(self, name: str) -> ZoneVm:
-        """Start a VM, or start one again at the address that it had."""
+        """Start a VM, or restart one at its address."""
         holder = f"{name}/{self.draw.random()}"
-        machine = RelayMachine("a", Seat(holder, name), self.draw.uniform)
+        machine = RelayMachine("a", RelayRow(holder, name), self.draw.uniform)
         self.vms[name] = ZoneVm(name, machine)
         return self.vms[name]
 
@@ -63,18 +63,18 @@
         while self.now < end:
             self.now += TICK_S
             for vm in list(self.vms.values()):
-                if not vm.dead and not vm.frozen:
+                if not vm.dead and not vm.paused:
                     self.tick(vm)
 
     def tick(self, vm: ZoneVm) -> None:
         machine = vm.machine
-        if machine.silent(self.now):
+        if machine.is_silent(self.now):
             self.lose_link(vm)
         self.carry_beat(vm)
         step = machine.step(self.now)
         while step is not None:
             fate = Fate.REFUSED if vm.turned_away else Fate.ANSWERED
-            step = machine.took(self.platform.take(step, fate), self.now)
+            step = machine.apply_result(self.platform.take(step, fate), self.now)
         if machine.address is not None and vm.relay is None:
             self.dial(vm, machine.address)
 
@@ -82,22 +82,26 @@
         relay = self.vms.get(address)
         if relay is None or relay.dead or not relay.machine.serving:
             self.lose_link(vm)
-        elif not relay.frozen:
+        elif not relay.paused:
             vm.relay = address
             vm.machine.link_opened(self.now)
             vm.beat_at = self.now
 
     def carry_beat(self, vm: ZoneVm) -> None:
-        """Bring the relay's beat, or the end of the link, to a follower."""
+        """Deliver the relay's heartbeat, or the end of the link, to a follower."""
         if vm.relay is None:
             return
         relay = self.vms[vm.relay]
         if relay.dead or not relay.machine.serving:
             self.lose_link(vm)
-        elif not relay.frozen and self.now >= vm.beat_at:
-            vm.beat_at = self.now + BEAT_S
-            vm.machine.heard(not relay.turned_away, self.size, self.now)
-        elif relay.turned_away and not vm.turned_away and vm.machine.answered(self.now):
+        elif not relay.paused and self.now >= vm.beat_at:
+            vm.beat_at = self.now + HEARTBEAT_S
+            vm.machine.record_heartbeat(not relay.turned_away, self.size, self.now)
+        elif (
+            relay.turned_away
+            and not vm.turned_away
+            and vm.machine.record_own_answer(self.now)
+        ):
             self.lose_link(vm)
 
     def lose_link(self, vm: ZoneVm) -> None:
@@ -106,7 +110,7 @@
 
     @property
     def living(self) -> list[ZoneVm]:
-        return [vm for vm in self.vms.values() if not vm.dead and not vm.frozen]
+        return [vm for vm in self.vms.values() if not vm.dead and not vm.paused]
 
     @property
     def relays(self) -> list[ZoneVm]:
@@ -114,7 +118,7 @@
 
     @property
     def unserved(self) -> list[str]:
-        """Return the VMs that write by themselves."""
+        """Return the VMs that write directly, without being the relay."""
         return [
             vm.name
             for vm in self.living
@@ -124,7 +128,7 @@
 
 @pytest.fixture(params=[1, 2, 3, 8, 40, 70])
 def zone(request: pytest.FixtureRequest) -> Zone:
-    """A zone that has found its relay."""
+    """A zone that has elected its relay."""
     zone = Zone(request.param)
     zone.run(SETTLED_S)
     assert len(zone.relays) == 1
@@ -133,7 +137,7 @@
 
 
 def test_started_together_all_find_one_relay_with_few_writes() -> None:
-    """All VMs of a zone start in the same second and claim the same seat."""
+    """All VMs of a zone start in the same second and claim the same row."""
     zone = Zone(70)
     zone.run(SETTLED_S)
     assert len(zone.relays) == 1
@@ -142,14 +146,14 @@
 
 
 def test_settled_zone_asks_the_table_only_for_the_seat(zone: Zone) -> None:
-    """The calls of a calm zone do not grow with its VMs."""
+    """The calls of a zone without faults do not grow with its VMs."""
     before = zone.platform.steps
     zone.run(60.0)
-    assert zone.platform.steps - before <= 60.0 / LOOK_S[0] + 1
+    assert zone.platform.steps - before <= 60.0 / OWNER_CHECK_S[0] + 1
 
 
 def test_killed_relays_are_replaced_one_after_the_other(zone: Zone) -> None:
-    """Whichever VM writes is killed each time, until one is left."""
+    """The relay is killed again and again, up to six times."""
     for _ in range(min(zone.size - 1, 6)):
         zone.relays[0].dead = True
         zone.run(SETTLED_S)
@@ -158,61 +162,61 @@
 
 
 def test_frozen_relay_is_replaced_and_follows_once_awake(zone: Zone) -> None:
-    """A relay that froze must not stay one beside its successor."""
+    """A relay that was paused must not stay a relay beside its successor."""
     [relay] = zone.relays
-    relay.frozen = True
+    relay.paused = True
     zone.run(SETTLED_S)
     if zone.size > 1:
         assert len(zone.relays) == 1
     assert not zone.unserved
-    relay.frozen = False
-    zone.run(LOOK_S[1] + SETTLED_S)
+    relay.paused = False
+    zone.run(OWNER_CHECK_S[1] + SETTLED_S)
     assert len(zone.relays) == 1
     assert not zone.unserved
 
 
 def test_follower_that_froze_leaves_the_relay_its_seat(zone: Zone) -> None:
-    """A VM wakes, has heard nothing for seconds, and takes the relay for dead."""
+    """A VM that resumes after seconds without heartbeats must not replace the relay."""
     [relay] = zone.relays
     for vm in zone.living:
         if vm is not relay:
-            vm.frozen = True
-    zone.run(2 * SILENCE_S)
+            vm.paused = True
+    zone.run(2 * HEARTBEAT_TIMEOUT_S)
     writes = zone.platform.table.writes
     for vm in zone.vms.values():
-        vm.frozen = False
+        vm.paused = False
     zone.run(SETTLED_S)
     assert zone.relays == [relay]
     assert zone.platform.table.writes == writes
 
 
 def test_relay_that_is_turned_away_by_the_store_is_replaced(zone: Zone) -> None:
-    """The store turns one machine away, which all others of the zone write through."""
+    """The store turns away the VM through which all others of the zone write."""
     [relay] = zone.relays
     relay.turned_away = True
-    zone.run(ABSENT_S + SETTLED_S)
+    zone.run(UNAVAILABLE_S + SETTLED_S)
     assert not [name for name in zone.unserved if name != relay.name]
     relay.turned_away = False
-    zone.run(LOOK_S[1] + SETTLED_S)
+    zone.run(OWNER_CHECK_S[1] + SETTLED_S)
     assert len(zone.relays) == 1
     assert not zone.unserved
 
 
 def test_half_of_the_zone_killed_at_once_is_served_again(zone: Zone) -> None:
-    """Half of all VMs die in the same moment and start again under their names."""
+    """Half of all VMs are killed in the same moment and restarted under their names."""
     names = sorted(zone.vms)[::2]
     for name in names:
         zone.vms[name].dead = True
     zone.run(2.0)
     for name in names:
         zone.add(name)
-    zone.run(LOOK_S[1] + SETTLED_S)
+    zone.run(OWNER_CHECK_S[1] + SETTLED_S)
     assert len(zone.relays) == 1
     assert not zone.unserved
 
 
 def test_relay_that_starts_again_at_its_address_does_not_follow_itself() -> None:
-    """The seat still names the address of a VM that has just started anew."""
+    """The relay row still names the address of a VM that was just restarted."""
     zone = Zone(1)
     zone.run(SETTLED_S)
     machine = zone.add("vm-0").machine
@@ -222,18 +226,18 @@
 
 
 def test_one_of_two_that_claim_a_vacant_seat_at_once_is_the_relay() -> None:
-    """Both have seen the seat vacant before either has claimed it."""
+    """Both have read the row as vacant before either has claimed it."""
     platform = FakePlatform()
-    machines = [RelayMachine("a", Seat(name, name)) for name in ("x", "y")]
+    machines = [RelayMachine("a", RelayRow(name, name)) for name in ("x", "y")]
     claims = []
     for machine in machines:
         machine.step(0.0)
         step = machine.step(1.0)
         assert step is not None
-        claims.append(machine.took(platform.take(step), 1.0))
+        claims.append(machine.apply_result(platform.take(step), 1.0))
     for machine, claim in zip(machines, claims, strict=True):
         assert claim is not None
-        machine.took(platform.take(claim), 1.0)
+        machine.apply_result(platform.take(claim), 1.0)
     assert [machine.serving for machine in machines] == [True, False]
 
 
@@ -245,20 +249,20 @@
     zone.platform.away = False
     for vm in zone.vms.values():
         vm.turned_away = False
-    zone.run(LOOK_S[1] + SETTLED_S)
+    zone.run(OWNER_CHECK_S[1] + SETTLED_S)
     assert len(zone.relays) == 1
     assert not zone.unserved
 
 
 def test_stopping_relay_gives_its_seat_up() -> None:
-    """A planned stop leaves the zone without a relay until somebody notices."""
+    """Otherwise a planned stop would leave the zone without a relay for seconds."""
     zone = Zone(8)
     zone.run(SETTLED_S)
     [relay] = zone.relays
     step = relay.machine.leave()
     assert isinstance(step, Transact)
     zone.platform.take(step)
-    assert SEAT_PREFIX + "a" not in zone.platform.table.rows
+    assert ROW_PREFIX + "a" not in zone.platform.table.rows
     relay.dead = True
     zone.run(2.0)
     assert len(zone.relays) == 1
@@ -266,7 +270,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_random_faults_leave_one_relay_and_nobody_alone(seed: int) -> None:
-    """Kills, freezes, restarts and turned away VMs overlap for a minute."""
+    """VMs are killed, paused, restarted and turned away, overlapping, for a minute."""
     zone = Zone(12, seed)
     draw = random.Random(seed)
     for _ in range(30):
@@ -275,35 +279,35 @@
             case 0:
                 vm.dead = True
             case 1:
-                vm.frozen = not vm.frozen
+                vm.paused = not vm.paused
             case 2:
                 vm.turned_away = not vm.turned_away
             case 3:
                 zone.add(vm.name)
         zone.run(draw.uniform(0.25, 3.0))
     for vm in list(zone.vms.values()):
-        vm.frozen = vm.turned_away = False
+        vm.paused = vm.turned_away = False
         if vm.dead:
             zone.add(vm.name)
-    zone.run(2 * LOOK_S[1] + SETTLED_S)
+    zone.run(2 * OWNER_CHECK_S[1] + SETTLED_S)
     assert len(zone.relays) == 1
     assert not zone.unserved
 
 
 def test_relay_that_does_not_know_the_count_of_vms_does_not_lower_it() -> None:
-    """A relay that has just started does not know how many VMs there are."""
-    machine = RelayMachine("a", Seat("h", "x"))
-    machine.heard(True, 195, 1.0)
-    machine.heard(True, 0, 2.0)
+    """A relay that has just started does not know the number of VMs."""
+    machine = RelayMachine("a", RelayRow("h", "x"))
+    machine.record_heartbeat(True, 195, 1.0)
+    machine.record_heartbeat(True, 0, 2.0)
     assert machine.vms == 195
 
 
 @pytest.mark.parametrize("value", [7, "x", [], {}, {"holder": 1, "address": "a"}])
 def test_seat_that_cannot_be_read_is_vacant(value: object) -> None:
-    """Another version's row, or anybody's, must not end the process that reads it."""
-    machine = RelayMachine("a", Seat("h", "x"))
+    """A row in an unexpected format must not end the process that reads it."""
+    machine = RelayMachine("a", RelayRow("h", "x"))
     machine.step(0.0)
     assert machine.step(1.0) is not None
-    claim = machine.took(Rows({machine.key: Row(value, 7)}), 1.0)
+    claim = machine.apply_result(Rows({machine.key: Row(value, 7)}), 1.0)
     assert isinstance(claim, Transact)
     assert claim.checks == {machine.key: 7}
--- a/tests/test_silent_store.py
+++ b/tests/test_silent_store.py
@@ -1,4 +1,4 @@
-"""How soon VMs know what changed around a silence of the platform's store."""
+"""How soon VMs learn of changes after an outage of the platform's store."""
 
 import random
 from collections.abc import Callable
@@ -18,10 +18,10 @@
 
 TABLE = "op"
 BOUND_S = 2.0
-"""In which a change is to be in force; the shortest of the deployments."""
+"""Time in which a change must be in force; the shortest of all deployments."""
 
 IN_TOUCH_S = 3.0
-"""From the end of a silence on, changes are bound to be in force in time again."""
+"""This long after an outage ends, changes must be in force within the bound again."""
 
 SHARING = Sharing(BOUND_S * CONFIRM_SHARE, BOUND_S * FRESH_SHARE, WAIT_S)
 ANSWER_S = 0.008
@@ -30,7 +30,7 @@
 
 
 class LoopClock:
-    """The platform's clock and the VM's, which here are the loop's."""
+    """The platform's clock and the VM's, both of which are the event loop's here."""
 
     heard_at: float | None = 0.0
 
@@ -49,7 +49,7 @@
 
 @dataclass
 class SilentStore:
-    """A store that swallows each call that is open at any moment of its silence."""
+    """A store that never answers a call that is open at any moment of its outage."""
 
     begin: float
     end: float
@@ -68,7 +68,7 @@
         return since < self.end and self.now() >= self.begin
 
     async def answer(self, wait_s: float, until: Callable[[], bool]) -> None:
-        """Return when a call is answered, or fail as its client does."""
+        """Return when a call is answered, or raise after the client's time-out."""
         self.calls += 1
         since = self.now()
         deadline = since + wait_s
@@ -99,13 +99,13 @@
         return Changes(rows, self.version)
 
     async def write(self) -> None:
-        """Be called for something else."""
+        """Answer a call that does not wait for changes."""
         await self.answer(0.0, lambda: True)
 
 
 @dataclass
 class Vm:
-    """One VM that follows the table, and calls the store for other reasons."""
+    """One VM that follows the table, and also makes other calls to the store."""
 
     store: SilentStore
     followers: int = 0
@@ -132,7 +132,7 @@
             await anyio.sleep(WRITE_EVERY_S)
 
     async def hear(self, relay: "Vm") -> None:
-        """Take the frames of a relay."""
+        """Apply the frames of a relay."""
         sent: int | None = None
         while True:
             changed = relay.feed.changed
@@ -140,12 +140,12 @@
                 frame = relay.feed.frame_for(TABLE, sent)
                 sent = frame.version
                 await anyio.sleep(LINK_S)
-                self.feed.take_frame(frame)
+                self.feed.apply_frame(frame)
             await changed.wait()
 
 
 def play(seed: int, through_relay: bool, doubts: bool = True) -> float:
-    """Return by how much a change after a silence was late."""
+    """Return by how many seconds a change after an outage was late."""
     draw = random.Random(seed)
     begin = draw.uniform(8.0, 20.0)
     end = begin + draw.uniform(1.5, 20.0)
@@ -182,9 +182,9 @@
 def test_change_after_a_silence_of_the_store_is_known_in_time(
     through_relay: bool,
 ) -> None:
-    """A call that waits for changes is swallowed, and its time-out comes ten seconds on.
+    """A long poll that the store never answers times out only after ten seconds.
 
-    Configurations that were acknowledged after the silence were not in force.
+    Configurations that were acknowledged after the outage were therefore not in force.
     """
     late = {seed: play(seed, through_relay) for seed in range(60)}
     assert {seed: late_s for seed, late_s in late.items() if late_s > 0} == {}
