--- a/tests/test_peers_processes.py
+++ b/tests/test_peers_processes.py
@@ -13,7 +13,7 @@
 from godwitmast.dev.system import DevSystem
 from processes import Process, Processes, free_port
 from running import running
-from test_stopping import streamed, words_of
+from test_stopping import streamed, read_word_numbers
 
 pytestmark = pytest.mark.anyio
 
@@ -101,7 +101,7 @@
         url = f"{base}/v1/chat/completions"
         answer = await self.http.post(url, headers=BEARER, json=streamed(length))
         assert answer.status_code == 200, answer.text
-        assert words_of(answer.text) == list(range(1, length + 1))
+        assert read_word_numbers(answer.text) == list(range(1, length + 1))
 
 
 @asynccontextmanager
