--- a/tests/test_peers_processes.py
+++ b/tests/test_peers_processes.py
@@ -13,7 +13,7 @@
 from godwitmast.dev.system import DevSystem
 from processes import Process, Processes, free_port
 from running import running
-from test_stopping import streamed, read_word_numbers
+from test_stopping import read_word_numbers, streamed
 
 pytestmark = pytest.mark.anyio
 
