--- a/src/godwitmast/admission/class_queue.py
+++ b/src/godwitmast/admission/class_queue.py
@@ -65,8 +65,8 @@
         return self.target.tier
 
     @property
-    def order_in_engines(self) -> int:
-        return self.target.order_in_engines
+    def effective_engine_priority(self) -> int:
+        return self.target.effective_engine_priority
 
     @property
     def turn_share(self) -> float:
--- a/src/godwitmast/admission/preemption.py
+++ b/src/godwitmast/admission/preemption.py
@@ -84,7 +84,7 @@
     for queue in reversed(pool.by_tier):
         if queue.tier <= urgent.tier:
             return None
-        spared = queue.order_in_engines < urgent.order_in_engines
+        spared = queue.effective_engine_priority < urgent.effective_engine_priority
         if queue.preemptible and not spared:
             return next(reversed(queue.preemptible.values()))
     return None
--- a/src/godwitmast/admission/queue.py
+++ b/src/godwitmast/admission/queue.py
@@ -45,7 +45,7 @@
 
 
 class EngineOrderRange(NamedTuple):
-    """Values of `order_in_engines` of the most and the least urgent classes."""
+    """Values of `effective_engine_priority` of the most and least urgent classes."""
 
     first: int
     last: int
@@ -220,8 +220,8 @@
             if request_id is None:
                 continue
             job = self.jobs[request_id]
-            is_first = queue.order_in_engines <= self.engine_order_range.first
-            is_last = queue.order_in_engines >= self.engine_order_range.last
+            is_first = queue.effective_engine_priority <= self.engine_order_range.first
+            is_last = queue.effective_engine_priority >= self.engine_order_range.last
             if may_overcommit and is_first and frees_place_soon(pool):
                 return Preemption(None, self.start_next(queue, now))
             if job.urgent_at > now:
@@ -399,8 +399,8 @@
 
 
 def find_engine_order_range(document: Document) -> EngineOrderRange:
-    """Return the smallest and the largest `order_in_engines` of all classes."""
-    orders = [item.order_in_engines for item in document.classes.values()]
+    """Return the smallest and largest `effective_engine_priority` of all classes."""
+    orders = [item.effective_engine_priority for item in document.classes.values()]
     return EngineOrderRange(min(orders, default=1), max(orders, default=1))
 
 
--- a/src/godwitmast/capacity/demand.py
+++ b/src/godwitmast/capacity/demand.py
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 from godwitmast.capacity.messages import ClassDemand
-from godwitmast.config.document import CapacityIntention, Document
+from godwitmast.config.document import CapacityPolicy, Document
 from godwitmast.types import ClassName, Json, PoolName
 
 DEMAND_KEY_PREFIX = "demand/"
@@ -141,7 +141,7 @@
                 )
 
     def demand(
-        self, pool: PoolName, document: Document, intention: CapacityIntention
+        self, pool: PoolName, document: Document, intention: CapacityPolicy
     ) -> list[ClassDemand]:
         """Return the pool's demand by class, between the last two rounds."""
         demands = []
--- a/src/godwitmast/capacity/duty.py
+++ b/src/godwitmast/capacity/duty.py
@@ -27,7 +27,7 @@
 from godwitmast.capacity.orders import OrderBook
 from godwitmast.capacity.planner import Planner
 from godwitmast.clock import Clock
-from godwitmast.config.document import CapacityIntention, Document
+from godwitmast.config.document import CapacityPolicy, Document
 from godwitmast.config.follower import ConfigFollower
 from godwitmast.errors import PlatformError, PlatformUnavailable
 from godwitmast.lease.intents import (
@@ -164,7 +164,7 @@
                     return
 
     def planner(
-        self, pool: str, document: Document, intention: CapacityIntention
+        self, pool: str, document: Document, intention: CapacityPolicy
     ) -> Planner:
         zones = intention.zones or frozenset(
             item.zone for item in document.backends.values() if pool in item.pools
@@ -181,7 +181,7 @@
         self,
         pool: PoolName,
         document: Document,
-        intention: CapacityIntention,
+        intention: CapacityPolicy,
         fleet: list[FleetServer],
         now: float,
     ) -> View:
@@ -321,7 +321,7 @@
             self.metrics.servers.labels(server.kind, server.state).inc()
             intention = next(
                 (capacity[p] for p in server.pools if p in capacity),
-                CapacityIntention(),
+                CapacityPolicy(),
             )
             cheap = server.kind == "cheap"
             price = intention.cheap_per_hour if cheap else intention.on_demand_per_hour
--- a/src/godwitmast/capacity/planner.py
+++ b/src/godwitmast/capacity/planner.py
@@ -27,7 +27,7 @@
     servers_needed,
     split_by_kind,
 )
-from godwitmast.config.document import CapacityIntention
+from godwitmast.config.document import CapacityPolicy
 from godwitmast.types import PoolName, ZoneName
 
 SHRINK_DELAY_S = 600.0
@@ -67,7 +67,7 @@
     """Planner for one pool; it computes a new plan each round from the latest view."""
 
     def __init__(
-        self, pool: PoolName, zones: list[ZoneName], intention: CapacityIntention
+        self, pool: PoolName, zones: list[ZoneName], intention: CapacityPolicy
     ) -> None:
         self.pool = pool
         self.zones = zones
@@ -80,7 +80,7 @@
         self.target_mix = Mix(0, 0)
         self.peak_mix = Mix(0, 0)
 
-    def update(self, zones: list[ZoneName], intention: CapacityIntention) -> None:
+    def update(self, zones: list[ZoneName], intention: CapacityPolicy) -> None:
         """Apply new zones and intention; the forecast keeps its state."""
         self.zones = zones
         self.intention = intention
--- a/src/godwitmast/capacity/sizing.py
+++ b/src/godwitmast/capacity/sizing.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from godwitmast.capacity.messages import ServerKind
-from godwitmast.config.document import CapacityIntention
+from godwitmast.config.document import CapacityPolicy
 from godwitmast.types import ZoneName
 
 USE = 0.70
@@ -33,14 +33,14 @@
         return self.on_demand + self.cheap
 
 
-def servers_needed(work: float, backlog: float, intention: CapacityIntention) -> int:
+def servers_needed(work: float, backlog: float, intention: CapacityPolicy) -> int:
     """Return how many servers the work needs, within the intention's bounds."""
     needed = math.ceil((work + backlog / BACKLOG_CLEAR_S) / USE - 1e-9)
     return min(max(needed, intention.min_servers), intention.max_servers)
 
 
 def split_by_kind(
-    total: int, high_work: float, zones: int, intention: CapacityIntention
+    total: int, high_work: float, zones: int, intention: CapacityPolicy
 ) -> Mix:
     """Split servers by kind, with as many cheap ones as a zone loss permits.
 
@@ -58,7 +58,7 @@
     return Mix(total - cheap, cheap)
 
 
-def cut_to_budget(mix: Mix, intention: CapacityIntention) -> Mix:
+def cut_to_budget(mix: Mix, intention: CapacityPolicy) -> Mix:
     """Return the mix reduced to the budget, on-demand servers first.
 
     It never goes below `min_servers`.
@@ -79,7 +79,7 @@
     return Mix(on_demand, cheap)
 
 
-def hourly_price(mix: Mix, intention: CapacityIntention) -> float:
+def hourly_price(mix: Mix, intention: CapacityPolicy) -> float:
     """Return the price of the mix per hour."""
     return (
         mix.on_demand * intention.on_demand_per_hour
--- a/src/godwitmast/config/change.py
+++ b/src/godwitmast/config/change.py
@@ -5,7 +5,7 @@
 
 from godwitmast.config.machine import ConfigState, catch_up
 from godwitmast.config.parsing import parse_document
-from godwitmast.config.patch import merge_patch, overlap, touched
+from godwitmast.config.patch import changed_paths, merge_patch, overlapping_paths
 from godwitmast.config.rows import (
     DELTA_PREFIX,
     HEAD_KEY,
@@ -81,16 +81,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Away:
+class Unreachable:
     """The platform could not be reached; nothing was written."""
 
 
 @dataclass(frozen=True, slots=True)
-class Unsettled:
+class OutcomeUnknown:
     """The patch may still be accepted; send it again with the same id to find out."""
 
 
-ChangeOutcome = Accepted | Stale | Invalid | Away | Unsettled
+ChangeOutcome = Accepted | Stale | Invalid | Unreachable | OutcomeUnknown
 
 
 class HeadRow(NamedTuple):
@@ -128,7 +128,7 @@
                 return Accepted(patch.against + 1)
             case Invalid():
                 return outcome
-    return Unsettled() if sent else Away()
+    return OutcomeUnknown() if sent else Unreachable()
 
 
 def write_patch(
@@ -174,8 +174,8 @@
     changes = [Delta(**row.value) for row in found.rows.values()]
     conflicting: set[str] = set()
     for change in changes:
-        conflicting |= touched(change.patch)
-    shared = overlap(touched(patch.patch), conflicting)
+        conflicting |= changed_paths(change.patch)
+    shared = overlapping_paths(changed_paths(patch.patch), conflicting)
     return Stale(patch.against, current, changes, shared)
 
 
--- a/src/godwitmast/config/document.py
+++ b/src/godwitmast/config/document.py
@@ -30,7 +30,7 @@
     engine_priority: Annotated[int, Ge(0)] | None = None
 
     @property
-    def order_in_engines(self) -> int:
+    def effective_engine_priority(self) -> int:
         """Return the priority that is sent to engines."""
         return self.tier if self.engine_priority is None else self.engine_priority
 
@@ -116,7 +116,7 @@
     incarnation: int = 0
 
 
-class CapacityIntention(NamedTuple):
+class CapacityPolicy(NamedTuple):
     """The operators' limits and goals for the number of a model's backend servers.
 
     An empty `zones` allows the zones in which the configuration has servers of the
@@ -155,7 +155,7 @@
     models: dict[str, Model] = {}
     services: dict[str, Service] = {}
     backends: dict[str, Backend] = {}
-    capacity: dict[str, CapacityIntention] = {}
+    capacity: dict[str, CapacityPolicy] = {}
     evacuated: dict[str, Evacuation] = {}
 
 
--- a/src/godwitmast/config/follower.py
+++ b/src/godwitmast/config/follower.py
@@ -22,7 +22,7 @@
 PUSHED_PULL_INTERVAL_S = 3.0
 """Interval while connected to peers, which push each change immediately."""
 
-SLOW_PULL_S = 6.0
+CONTROL_PULL_INTERVAL_S = 6.0
 """Interval of a control daemon, which serves no callers."""
 
 Listener = Callable[[NumberedConfig], None]
@@ -43,7 +43,7 @@
         self.state = ConfigState()
         self.listeners: list[Listener] = []
         self.watchers: dict[str, Callable[[Json], None]] = {}
-        self.is_pushed: Callable[[], bool] = lambda: False
+        self.peers_push_changes: Callable[[], bool] = lambda: False
         self.ready = anyio.Event()
         self.notified_version = 0
         self.last_contact: float | None = None
@@ -68,19 +68,23 @@
         while True:
             await self.pull()
             # Jitter keeps nodes that started together from polling in step.
-            every_s = PUSHED_PULL_INTERVAL_S if self.is_pushed() else self.pull_every_s
+            every_s = (
+                PUSHED_PULL_INTERVAL_S
+                if self.peers_push_changes()
+                else self.pull_every_s
+            )
             await anyio.sleep(every_s * random.uniform(0.8, 1.2))
 
     async def pull(self) -> None:
         """Read the head row, and the changes or snapshot if its version is newer."""
         if await run_steps(self.platform, catch_up(self.state)):
-            self.heard()
+            self.record_contact()
             self.notify_watchers()
         else:
             log_event("config_pull_failed", level="WARNING")
         self.notify_listeners()
 
-    def watch(self, key: str, listener: Callable[[Json], None]) -> None:
+    def watch_row(self, key: str, listener: Callable[[Json], None]) -> None:
         """Read another small row with each poll, and pass its value to `listener`."""
         self.watchers[key] = listener
         self.state.watched[key] = None
@@ -90,11 +94,11 @@
             if value is not None:
                 self.watchers[key](value)
 
-    def heard(self) -> None:
+    def record_contact(self) -> None:
         """Record that the platform, or a peer that reaches the platform, was reached."""
         self.last_contact = anyio.current_time()
 
-    def cut_off_s(self) -> float:
+    def seconds_since_contact(self) -> float:
         """Return the seconds since the last contact, infinite if there was none."""
         if self.last_contact is None:
             return float("inf")
--- a/src/godwitmast/config/parsing.py
+++ b/src/godwitmast/config/parsing.py
@@ -7,7 +7,7 @@
 
 from godwitmast.config.document import (
     Backend,
-    CapacityIntention,
+    CapacityPolicy,
     Document,
     Evacuation,
     KeyGrant,
@@ -28,7 +28,7 @@
     "models": TypeAdapter(Model),
     "services": TypeAdapter(Service),
     "backends": TypeAdapter(Backend),
-    "capacity": TypeAdapter(CapacityIntention),
+    "capacity": TypeAdapter(CapacityPolicy),
     "evacuated": TypeAdapter(Evacuation),
 }
 """Validators of the items of each section of a document."""
--- a/src/godwitmast/config/patch.py
+++ b/src/godwitmast/config/patch.py
@@ -38,17 +38,17 @@
         yield from differences(before.get(name), after.get(name), place)
 
 
-def touched(patch: Json, path: str = "") -> set[str]:
+def changed_paths(patch: Json, path: str = "") -> set[str]:
     """Return the paths that a patch sets or removes."""
     if not isinstance(patch, dict) or not patch:
         return {path}
     places = set()
     for name, value in patch.items():
-        places |= touched(value, f"{path}.{name}" if path else name)
+        places |= changed_paths(value, f"{path}.{name}" if path else name)
     return places
 
 
-def overlap(ours: set[str], theirs: set[str]) -> list[str]:
+def overlapping_paths(ours: set[str], theirs: set[str]) -> list[str]:
     """Return the paths of `ours` that equal, contain or lie in one of `theirs`."""
     return sorted(
         one
--- a/src/godwitmast/control/daemon.py
+++ b/src/godwitmast/control/daemon.py
@@ -11,7 +11,7 @@
 from godwitmast.backends.client import BackendClient
 from godwitmast.capacity.duty import CapacityDuty
 from godwitmast.clock import SystemClock
-from godwitmast.config.follower import SLOW_PULL_S, ConfigFollower
+from godwitmast.config.follower import CONTROL_PULL_INTERVAL_S, ConfigFollower
 from godwitmast.control.settings import ControlSettings
 from godwitmast.http_server import HttpServer
 from godwitmast.lease.driver import Duty, LeaseDriver
@@ -26,7 +26,7 @@
     def __init__(self, settings: ControlSettings) -> None:
         self.settings = settings
         self.platform = PlatformClient(settings.platform, settings.node)
-        self.follower = ConfigFollower(self.platform, SLOW_PULL_S)
+        self.follower = ConfigFollower(self.platform, CONTROL_PULL_INTERVAL_S)
         self.registry = CollectorRegistry()
         self.clock = SystemClock()
         self.leases: list[LeaseDriver] = []
--- a/src/godwitmast/ctl/cli.py
+++ b/src/godwitmast/ctl/cli.py
@@ -12,11 +12,11 @@
 
 from godwitmast.config.change import (
     Accepted,
-    Away,
     ChangeOutcome,
     Invalid,
+    OutcomeUnknown,
     Stale,
-    Unsettled,
+    Unreachable,
 )
 from godwitmast.config.parsing import parse_document
 from godwitmast.config.patch import differences
@@ -113,7 +113,7 @@
 
     async def work(session: Session) -> int:
         outcome = await session.patch(change)
-        if isinstance(outcome, Unsettled):
+        if isinstance(outcome, OutcomeUnknown):
             typer.echo(f"repeat with --id {change.patch_id}", err=True)
         return await conclude(session, outcome, wait, timeout)
 
@@ -134,10 +134,10 @@
         case Invalid(problems):
             typer.echo(f"not valid: {problems}", err=True)
             return EXIT_USAGE
-        case Away():
+        case Unreachable():
             typer.echo("the platform does not answer; nothing was changed", err=True)
             return EXIT_FAILED
-        case Unsettled():
+        case OutcomeUnknown():
             typer.echo("the outcome is not known", err=True)
             return EXIT_UNKNOWN
 
--- a/src/godwitmast/ctl/session.py
+++ b/src/godwitmast/ctl/session.py
@@ -11,9 +11,9 @@
 
 from godwitmast.config.change import (
     ChangeOutcome,
+    OutcomeUnknown,
     Patch,
     Stale,
-    Unsettled,
     document_at,
     propose,
     read_history,
@@ -97,10 +97,10 @@
 
     async def patch(self, patch: Patch) -> ChangeOutcome:
         """Send a patch, and again with the same id while its outcome is unknown."""
-        outcome: ChangeOutcome = Unsettled()
+        outcome: ChangeOutcome = OutcomeUnknown()
         for _ in range(SETTLE_TRIES):
             outcome = await run_steps(self.platform, propose(self.state, patch))
-            if not isinstance(outcome, Unsettled):
+            if not isinstance(outcome, OutcomeUnknown):
                 break
             await anyio.sleep(0.5)
         return outcome
@@ -111,7 +111,7 @@
         Only for changes that mean the same whatever others changed meanwhile, such as
         withdrawing one key.
         """
-        outcome: ChangeOutcome = Unsettled()
+        outcome: ChangeOutcome = OutcomeUnknown()
         for _ in range(EDIT_TRIES):
             state = await self.current()
             assert state.current is not None, "checked by `current`"
--- a/src/godwitmast/entry/daemon.py
+++ b/src/godwitmast/entry/daemon.py
@@ -71,7 +71,7 @@
             self.app.count_waiting,
             self.driver.fleet_changed,
         )
-        self.follower.watch(FLEET_HEAD_KEY, self.fleet.head_seen)
+        self.follower.watch_row(FLEET_HEAD_KEY, self.fleet.head_seen)
         self.server = HttpServer(
             self.app, settings.listen, settings.tls, settings.stop_timeout_s
         )
@@ -91,11 +91,11 @@
 
     async def run_key_checks(self) -> None:
         """End streams whose key expires or whose team's offline grace is exceeded."""
-        self.app.cut_off_s = self.follower.cut_off_s
+        self.app.cut_off_s = self.follower.seconds_since_contact
         while True:
             await anyio.sleep(KEY_CHECK_INTERVAL_S)
             if self.peering and self.peering.is_linked_to_other_zone():
-                self.follower.heard()
+                self.follower.record_contact()
             if self.follower.current:
                 self.app.end_withdrawn_streams()
 
--- a/src/godwitmast/entry/openai.py
+++ b/src/godwitmast/entry/openai.py
@@ -125,7 +125,7 @@
         self, envelope: Envelope, call: ModelCall, spec: RequestSpec, limit: int
     ) -> ModelOutbound:
         """Return the request to an engine: the caller's body with its class's priority."""
-        priority = self.document.classes[spec.class_name].order_in_engines
+        priority = self.document.classes[spec.class_name].effective_engine_priority
         body = {**call.body, "priority": priority, "max_tokens": limit}
         body.pop("max_completion_tokens", None)
         headers = [
--- a/src/godwitmast/entry/peering.py
+++ b/src/godwitmast/entry/peering.py
@@ -123,7 +123,7 @@
         self.leaving = LeavingSpreading(app.driver, self.driver)
         self.background = Background(self.run_vm_list, self.run_publishing)
         follower.listeners.append(self.config_changed)
-        follower.is_pushed = self.is_linked
+        follower.peers_push_changes = self.is_linked
         add_peer_gauges(app.metrics.registry, self.driver)
         app.list_peers = self.listed
         if peer_settings.fault_hook:
@@ -178,7 +178,7 @@
             if self.driver.machine is not None:
                 self.app.driver.count_entries(1 + len(self.driver.machine.listed()))
             if self.has_peer_in_other_zone():
-                self.follower.heard()
+                self.follower.record_contact()
 
     def has_peer_in_other_zone(self) -> bool:
         """Return whether any peer to which there is a link is of another zone."""
--- a/src/godwitmast/load/fleet_model.py
+++ b/src/godwitmast/load/fleet_model.py
@@ -25,7 +25,7 @@
     Undrain,
     View,
 )
-from godwitmast.config.document import CapacityIntention
+from godwitmast.config.document import CapacityPolicy
 from godwitmast.load.mixes import ClassMix, Mix
 from godwitmast.types import BackendId, ClassName, ZoneName
 
@@ -133,7 +133,7 @@
         self,
         mix: Mix,
         seed: int,
-        intention: CapacityIntention,
+        intention: CapacityPolicy,
         start: list[tuple[ZoneName, ServerKind]],
         zone_loss_at: int | None = None,
     ) -> None:
--- a/src/godwitmast/load/scalers.py
+++ b/src/godwitmast/load/scalers.py
@@ -12,7 +12,7 @@
     View,
 )
 from godwitmast.capacity.planner import COUNTED
-from godwitmast.config.document import CapacityIntention
+from godwitmast.config.document import CapacityPolicy
 from godwitmast.types import PoolName, ZoneName
 
 TOLERANCE = 0.1
@@ -40,7 +40,7 @@
 
     pool: PoolName
     zones: list[ZoneName]
-    intention: CapacityIntention
+    intention: CapacityPolicy
     target: float = 0.6
     wishes: list[tuple[float, int]] = field(default_factory=list)
 
--- a/src/godwitmast/load/slopes.py
+++ b/src/godwitmast/load/slopes.py
@@ -26,7 +26,7 @@
 )
 from godwitmast.capacity.messages import ClassDemand, ServerState, ServerView, View
 from godwitmast.capacity.planner import Planner
-from godwitmast.config.document import CapacityIntention, RequestClass
+from godwitmast.config.document import CapacityPolicy, RequestClass
 from godwitmast.config.parsing import parse_document
 from godwitmast.dispatch.messages import BackendSpec, RequestSpec, Start
 from godwitmast.dispatch.router import Router
@@ -354,7 +354,7 @@
     points = []
     for servers in SERVERS:
         planners = [
-            Planner(PoolName(f"model-{n}"), zones, CapacityIntention())
+            Planner(PoolName(f"model-{n}"), zones, CapacityPolicy())
             for n in range(POOLS)
         ]
         views = [make_view(servers // POOLS, zones) for _ in planners]
--- a/src/godwitmast/load/spend.py
+++ b/src/godwitmast/load/spend.py
@@ -13,7 +13,7 @@
 from godwitmast.capacity.messages import ServerKind
 from godwitmast.capacity.planner import Planner
 from godwitmast.capacity.sizing import USE
-from godwitmast.config.document import CapacityIntention
+from godwitmast.config.document import CapacityPolicy
 from godwitmast.daemons import EXIT_FAILED
 from godwitmast.load.fleet_model import FleetModel, FleetResult, Scaler
 from godwitmast.load.mixes import MIXES, Mix
@@ -48,9 +48,9 @@
     zone_loss: bool
 
 
-def make_intention(mix: Mix) -> CapacityIntention:
+def make_intention(mix: Mix) -> CapacityPolicy:
     """Return the intention that both examples configure."""
-    return CapacityIntention(
+    return CapacityPolicy(
         min_servers=3, max_servers=12, zones=frozenset(mix.zones), cheap_share=0.6
     )
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -29,7 +29,7 @@
     servers_needed,
     split_by_kind,
 )
-from godwitmast.config.document import CapacityIntention
+from godwitmast.config.document import CapacityPolicy
 from godwitmast.load.fleet_model import STEP_S
 from godwitmast.load.moves import play_moves
 from godwitmast.load.spend import Trial, run_trial
@@ -37,10 +37,10 @@
 from godwitmast.types import BackendId, ClassName, PoolName, ZoneName
 
 ZONES = [ZoneName(name) for name in ("a", "b", "c")]
-INTENTION = CapacityIntention(min_servers=2, max_servers=20)
+INTENTION = CapacityPolicy(min_servers=2, max_servers=20)
 
 
-def make_planner(intention: CapacityIntention = INTENTION) -> Planner:
+def make_planner(intention: CapacityPolicy = INTENTION) -> Planner:
     return Planner(PoolName("m"), ZONES, intention)
 
 
--- a/tests/test_capacity_orders.py
+++ b/tests/test_capacity_orders.py
@@ -16,7 +16,7 @@
 from godwitmast.capacity.messages import Drain, Order, Release, ServerState
 from godwitmast.capacity.orders import MIN_DRAIN_S, SILENT_DRAIN_TIMEOUT_S, OrderBook
 from godwitmast.clock import ManualClock
-from godwitmast.config.document import CapacityIntention
+from godwitmast.config.document import CapacityPolicy
 from godwitmast.config.follower import ConfigFollower
 from godwitmast.config.parsing import parse_document
 from godwitmast.dev.document import MODEL, dev_document, dev_key
@@ -316,7 +316,7 @@
 
 def test_demand_counts_arrivals_rather_than_answers() -> None:
     document = parse_document(dev_document([], "http://y"))
-    intention = CapacityIntention()
+    intention = CapacityPolicy()
     meter, book = DemandMeter(), DemandBook()
     key = DemandKey(MODEL, "question")
     book.take({"demand/e": (1, meter.dump("i", {}))}, 0.0)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -6,7 +6,7 @@
 
 from godwitmast.config.machine import ConfigState, Offered
 from godwitmast.config.parsing import parse_change, parse_document
-from godwitmast.config.patch import merge_patch, overlap, touched
+from godwitmast.config.patch import changed_paths, merge_patch, overlapping_paths
 from godwitmast.config.rows import Delta
 from godwitmast.dev.document import dev_document
 from godwitmast.errors import ConfigInvalid
@@ -49,8 +49,8 @@
         "a": {"c": [2]}
     }
     assert merge_patch([1], {"a": {"b": None}}) == {"a": {}}
-    assert overlap(touched({"a": {"b": 1}}), {"a.b.c"}) == ["a.b"]
-    assert overlap(touched({"a": {"b": 1}}), {"a.bc"}) == []
+    assert overlapping_paths(changed_paths({"a": {"b": 1}}), {"a.b.c"}) == ["a.b"]
+    assert overlapping_paths(changed_paths({"a": {"b": 1}}), {"a.bc"}) == []
 
 
 def test_peer_that_missed_too_many_changes_needs_a_snapshot() -> None:
--- a/tests/test_config_model.py
+++ b/tests/test_config_model.py
@@ -9,7 +9,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from fakes import FakePlatform, Fate
-from godwitmast.config.change import Accepted, Away, Invalid, Patch, Stale, propose
+from godwitmast.config.change import Accepted, Invalid, Patch, Stale, propose
+from godwitmast.config.change import Unreachable as Away
 from godwitmast.config.machine import ConfigState, catch_up
 from godwitmast.config.patch import merge_patch
 from godwitmast.config.rows import DELTA_PREFIX, Delta, first_objects, first_rows
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -78,11 +78,11 @@
 async def test_follower_reports_how_long_it_was_disconnected(system: DevSystem) -> None:
     async with running(system):
         follower = system.entries[0].follower
-        assert follower.cut_off_s() < 5.0
+        assert follower.seconds_since_contact() < 5.0
         system.platform.faults.outage = True
         follower.last_contact = anyio.current_time() - 60.0
         await follower.pull()
-        assert follower.cut_off_s() >= 60.0
+        assert follower.seconds_since_contact() >= 60.0
         system.platform.faults.outage = False
-        follower.heard()
-        assert follower.cut_off_s() < 5.0
+        follower.record_contact()
+        assert follower.seconds_since_contact() < 5.0
