--- a/src/godwitmast/entry/app.py
+++ b/src/godwitmast/entry/app.py
@@ -206,7 +206,9 @@
             give_up_at=prepared.give_up_at,
             claimed=prepared.claimed,
         )
-        exchange.on_backend_start = partial(self.meter.began, usage_key(prepared.spec))
+        exchange.on_backend_start = partial(
+            self.meter.count_request, usage_key(prepared.spec)
+        )
         return exchange
 
     async def run(self, exchange: Exchange) -> None:
@@ -257,7 +259,7 @@
             self.metrics.count_server_tokens(kind, tokens)
         if exchange.reached_backend:
             exchange.record_backend_start()
-            self.meter.add(usage_key(spec), exchange.billed_tokens)
+            self.meter.count_tokens(usage_key(spec), exchange.billed_tokens)
         if exchange.error_code:
             self.metrics.refused(
                 spec.team,
--- a/src/godwitmast/platform/daemon.py
+++ b/src/godwitmast/platform/daemon.py
@@ -209,8 +209,8 @@
             timing,
             self.config_version,
             self.driver.load_row,
-            crowd=lambda: 1 if self.relay.shares else self.count_vms(),
-            recent=self.relay.table.read_recent,
+            entry_count=lambda: 1 if self.relay.shares else self.count_vms(),
+            read_recent=self.relay.table.read_recent,
         )
         self.meter.listeners.append(self.writer.count)
         duty = UsageDuty(
--- a/src/godwitmast/usage/meter.py
+++ b/src/godwitmast/usage/meter.py
@@ -50,11 +50,11 @@
         self.sums: Sums = {}
         self.listeners: list[Callable[[UsageKey, UsageSum], None]] = []
 
-    def began(self, key: UsageKey) -> None:
+    def count_request(self, key: UsageKey) -> None:
         """Count a request that a backend server has started on."""
         self.count(key, UsageSum(requests=1))
 
-    def add(self, key: UsageKey, tokens: TokenCount) -> None:
+    def count_tokens(self, key: UsageKey, tokens: TokenCount) -> None:
         """Count the tokens of a request that ended.
 
         The request itself was counted when it started: it belongs to the window in
--- a/src/godwitmast/usage/writer.py
+++ b/src/godwitmast/usage/writer.py
@@ -45,8 +45,8 @@
         version: Callable[[], int],
         load: Callable[[], dict[str, Any]],
         beside: Callable[[], dict[str, Any]] = dict,
-        crowd: Callable[[], int] = lambda: 1,
-        recent: Callable[[list[str]], Awaitable[dict[str, Row]]] | None = None,
+        entry_count: Callable[[], int] = lambda: 1,
+        read_recent: Callable[[list[str]], Awaitable[dict[str, Row]]] | None = None,
     ) -> None:
         self.platform = platform
         self.clock = clock
@@ -55,8 +55,8 @@
         self.version = version
         self.load = load
         self.beside = beside
-        self.crowd = crowd
-        self.recent = recent
+        self.entry_count = entry_count
+        self.read_recent = read_recent
         self.flush_requested = anyio.Event()
         self.write_lock = anyio.Lock()
         self.closing = False
@@ -97,7 +97,7 @@
     def interval_s(self) -> float:
         """Return the seconds between two writes, longer among many entries, but bounded."""
         timing = self.timing
-        shared_s = min(self.crowd() / ROW_WRITES_PER_S, timing.window_s / 2)
+        shared_s = min(self.entry_count() / ROW_WRITES_PER_S, timing.window_s / 2)
         return max(timing.flush_s, shared_s)
 
     async def flush(self, ended: bool = False) -> FlushOutcome:
@@ -132,10 +132,10 @@
 
     async def read_head(self) -> UsageHead | None:
         """Return how far windows are frozen; an old copy only understates it."""
-        if self.recent is None:
+        if self.read_recent is None:
             return await run_steps(self.platform, read_marks())
         try:
-            rows = await self.recent([HEAD_KEY])
+            rows = await self.read_recent([HEAD_KEY])
         except PlatformError:
             return None
         row = rows.get(HEAD_KEY)
