--- a/src/godwitmast/claims/keeper.py
+++ b/src/godwitmast/claims/keeper.py
@@ -88,7 +88,7 @@
     """An entry's claims, and the queue of those that are not settled yet."""
 
     def __init__(self, platform: PlatformClient, clock: Clock, node: str) -> None:
-        self.platform = platform.in_bulk()
+        self.platform = platform.with_bulk_priority()
         self.clock = clock
         self.node = node
         self.incarnation = secrets.token_hex(6)
--- a/src/godwitmast/platform/daemon.py
+++ b/src/godwitmast/platform/daemon.py
@@ -158,7 +158,7 @@
         bounds = settings.bounds
         self.clock = SystemClock()
         self.true_time = AgreedClock(self.clock)
-        self.store = StoreClient(settings, self.true_time.heard)
+        self.store = StoreClient(settings, self.true_time.update_store_time)
         self.client = BackendClient(
             wire=ReplicaWire(), socket_options=SILENCE_OPTIONS, tls=trusting_nobody()
         )
@@ -346,7 +346,7 @@
     def doubt_feeds(self) -> None:
         """Reissue all calls that wait for changes."""
         for follower in self.followers:
-            follower.doubt()
+            follower.reissue_wait()
 
     def take_operator(self, rows: dict[str, bytes]) -> None:
         """Apply evacuations first: a VM is ready from its first configuration on."""
--- a/src/godwitmast/platform/store.py
+++ b/src/godwitmast/platform/store.py
@@ -26,7 +26,7 @@
     StoredRow,
 )
 from godwitmast.platform_api.http import PlatformHttp
-from godwitmast.platform_api.limits import Breaker, Budget
+from godwitmast.platform_api.limits import CircuitBreaker, RateBudget
 from godwitmast.platform_api.messages import Conflict, Row, TransactOutcome, Written
 from godwitmast.platform_api.port import Changes, FeedRow, HistoryLost, Snapshot
 from godwitmast.settings import Listen, PlatformSettings
@@ -103,14 +103,14 @@
         address = settings.platform.address
         limits = PlatformSettings(url_of(address), CALL_TIMEOUT_S)
         super().__init__(limits, make_http(address, CALL_TIMEOUT_S))
-        self.breaker = Breaker(open_max_s=RETRY_MAX_S)
+        self.breaker = CircuitBreaker(open_max_s=RETRY_MAX_S)
         self.duties = DutyClient(settings)
         self.duties.calls = self.calls
 
     def call_name(self, path: str) -> str:
         return name_call(path)
 
-    def budget_of(self, method: str, path: str) -> Budget:
+    def budget_for(self, method: str, path: str) -> RateBudget:
         return self.reads if method == "GET" else self.writes
 
     async def close(self) -> None:
@@ -142,14 +142,16 @@
             start = answer.rows[-1].key + "\0"
 
     async def get_rows(
-        self, table: str, start: str = "", end: str = "", paced: bool = False
+        self, table: str, start: str = "", end: str = "", bypass_breaker: bool = False
     ) -> RowsAnswer:
         params = {"table": table, "part": "", "limit": str(PAGE_ROWS)}
         if start:
             params["from"] = start
         if end:
             params["to"] = end
-        got = await self.send("GET", READ_ROWS, paced=paced, params=params)
+        got = await self.send(
+            "GET", READ_ROWS, bypass_breaker=bypass_breaker, params=params
+        )
         return self.parse(got)
 
     async def transact(
@@ -185,13 +187,15 @@
 
     async def snapshot(self, table: str) -> Snapshot:
         """Return all rows of a table of the platform's."""
-        answer = await self.get_rows(table, paced=True)
+        answer = await self.get_rows(table, bypass_breaker=True)
         # Of several pages the first is the oldest. The version of the last one would
         # skip what changed on the first in the meantime.
         version = answer.ver
         rows = answer.rows
         while answer.truncated:
-            answer = await self.get_rows(table, rows[-1].key + "\0", paced=True)
+            answer = await self.get_rows(
+                table, rows[-1].key + "\0", bypass_breaker=True
+            )
             rows += answer.rows
         return Snapshot([feed_row(row) for row in rows], version)
 
@@ -208,7 +212,7 @@
             "GET",
             FOLLOW_ROWS,
             (200, 410),
-            paced=True,
+            bypass_breaker=True,
             params=params,
             timeout=wait_s + FOLLOW_MARGIN_S,
         )
--- a/src/godwitmast/platform_api/client.py
+++ b/src/godwitmast/platform_api/client.py
@@ -8,7 +8,7 @@
 
 from godwitmast.platform_api.group_commit import GroupCommit
 from godwitmast.platform_api.http import PlatformHttp
-from godwitmast.platform_api.limits import Budget, Priority
+from godwitmast.platform_api.limits import Priority, RateBudget
 from godwitmast.platform_api.messages import (
     Conflict,
     FleetServer,
@@ -38,7 +38,7 @@
         super().__init__(settings, http)
         self.group: GroupCommit | None = None
 
-    def in_bulk(self) -> "PlatformClient":
+    def with_bulk_priority(self) -> "PlatformClient":
         """Return a client with bulk priority that batches transactions in group commits.
 
         It shares connections, budgets and circuit breaker with this one. Start its
@@ -46,7 +46,7 @@
         """
         bulk = copy.copy(self)
         bulk.priority = Priority.BULK
-        bulk.group = GroupCommit(bulk.transact_alone)
+        bulk.group = GroupCommit(bulk.transact_directly)
         return bulk
 
     async def __aenter__(self) -> Self:
@@ -60,7 +60,7 @@
     ) -> None:
         await self.close()
 
-    def budget_of(self, method: str, path: str) -> Budget:
+    def budget_for(self, method: str, path: str) -> RateBudget:
         return self.writes if method == "PUT" or path in WRITE_PATHS else self.reads
 
     async def read(self, keys: list[str]) -> dict[str, Row]:
@@ -88,9 +88,9 @@
         """Write `writes` if every row of `checks` still has its version."""
         if self.group is not None:
             return await self.group.transact(checks, writes)
-        return await self.transact_alone(checks, writes)
+        return await self.transact_directly(checks, writes)
 
-    async def transact_alone(
+    async def transact_directly(
         self, checks: dict[str, int], writes: dict[str, Json]
     ) -> TransactOutcome:
         """Write in a transaction of its own, without group commit."""
--- a/src/godwitmast/platform_api/feed.py
+++ b/src/godwitmast/platform_api/feed.py
@@ -50,20 +50,20 @@
 
     rows: dict[str, bytes] = field(default_factory=dict)
     version: int | None = None
-    away_since: float | None = None
+    unreachable_since: float | None = None
     recovered_at: float = float("-inf")
     lapsed_keys: set[str] = field(default_factory=set)
 
     def record_failure(self, now: float) -> None:
         """Record that the platform gave no answer."""
-        if self.away_since is None:
-            self.away_since = now
+        if self.unreachable_since is None:
+            self.unreachable_since = now
 
     def record_answer(self, now: float) -> bool:
         """Record an answer; return whether it ends an outage."""
-        ended_outage = self.away_since is not None
+        ended_outage = self.unreachable_since is not None
         if ended_outage:
-            self.away_since = None
+            self.unreachable_since = None
             self.recovered_at = now
         return ended_outage
 
@@ -170,7 +170,7 @@
         # After an outage the first call must not wait for changes: its answer marks
         # the end of the outage, and so separates rows that were removed during it from
         # those that are removed later.
-        wait_s = WAIT_S if self.view.away_since is None else 0.0
+        wait_s = WAIT_S if self.view.unreachable_since is None else 0.0
         match await self.wait_for_changes(self.view.version, wait_s):
             case Changes() as changes:
                 self.own_call = not changes.shared
@@ -195,7 +195,7 @@
                 self.wait_scope = None
         return None
 
-    def doubt(self) -> None:
+    def reissue_wait(self) -> None:
         """Cancel and reissue the call that waits for changes, after another call failed.
 
         A platform that stops answering drops both.
@@ -204,7 +204,7 @@
             self.wait_scope.cancel()
 
     async def back_off(self, error: PlatformError) -> None:
-        if self.view.away_since is None:
+        if self.view.unreachable_since is None:
             log_event("feed_lost", level="WARNING", table=self.table, error=str(error))
         self.view.record_failure(self.clock.now())
         await anyio.sleep(random.uniform(0.5, 1.5) * self.pause_s)
--- a/src/godwitmast/platform_api/group_commit.py
+++ b/src/godwitmast/platform_api/group_commit.py
@@ -54,7 +54,7 @@
         self.queue: deque[PendingTransaction] = deque()
         self.arrived = anyio.Event()
         self.sent = 0
-        self.failing = False
+        self.last_failed = False
 
     async def start(self, tasks: TaskGroup) -> None:
         tasks.start_soon(self.run)
@@ -80,7 +80,7 @@
     async def run(self) -> None:
         while True:
             await self.arrived.wait()
-            if self.gather_s and not self.failing:
+            if self.gather_s and not self.last_failed:
                 await anyio.sleep(self.gather_s)
             self.arrived = anyio.Event()
             while self.queue:
@@ -112,11 +112,11 @@
         try:
             outcome = await self.send(checks, writes)
         except PlatformError as error:
-            self.failing = True
+            self.last_failed = True
             for item in batch:
                 item.complete(error)
             return
-        self.failing = False
+        self.last_failed = False
         if isinstance(outcome, Written):
             for item in batch:
                 own_versions = {
--- a/src/godwitmast/platform_api/http.py
+++ b/src/godwitmast/platform_api/http.py
@@ -15,7 +15,7 @@
     PlatformUnavailable,
 )
 from godwitmast.platform_api.calls import CallCounter
-from godwitmast.platform_api.limits import Breaker, Budget, Priority
+from godwitmast.platform_api.limits import CircuitBreaker, Priority, RateBudget
 from godwitmast.settings import PlatformSettings
 
 
@@ -32,16 +32,16 @@
         self.http = http
         self.timeout_s = settings.timeout_s
         self.priority = Priority.CONTROL
-        self.reads = Budget(settings.reads_per_s)
-        self.writes = Budget(settings.writes_per_s)
-        self.breaker = Breaker()
+        self.reads = RateBudget(settings.reads_per_s)
+        self.writes = RateBudget(settings.writes_per_s)
+        self.breaker = CircuitBreaker()
         self.calls = CallCounter()
         self.failure_listeners: list[Callable[[], None]] = []
 
     async def close(self) -> None:
         await self.http.aclose()
 
-    def budget_of(self, method: str, path: str) -> Budget:
+    def budget_for(self, method: str, path: str) -> RateBudget:
         """Return the budget that a call counts against."""
         return self.reads if method == "GET" else self.writes
 
@@ -55,19 +55,19 @@
         path: str,
         good: tuple[int, ...] = (200,),
         rows: int = 1,
-        paced: bool = False,
+        bypass_breaker: bool = False,
         **content: Any,
     ) -> httpx.Response:
         """Return an answer with a status in `good`, or raise a PlatformError.
 
-        A call that is `paced` by its caller ignores the circuit breaker, so that it
-        succeeds as soon as the platform answers again.
+        A call with `bypass_breaker` is sent although the circuit breaker is open, so that
+        it succeeds as soon as the platform answers again; its caller has to pace it.
         """
         if self.http.is_closed:
             raise PlatformUnavailable(f"{path}: closed")
-        if not paced and not self.breaker.allow_call(time.monotonic()):
+        if not bypass_breaker and not self.breaker.allow_call(time.monotonic()):
             raise PlatformUnavailable(f"{path}: not sent, as recent calls failed")
-        budget = self.budget_of(method, path)
+        budget = self.budget_for(method, path)
         try:
             await self.wait_for_budget(budget, path, rows)
             answer = await self.request(method, path, **content)
@@ -81,10 +81,10 @@
             raise
         finally:
             # Also for a call that was cancelled or that exceeded this process's budget.
-            if not paced:
+            if not bypass_breaker:
                 self.breaker.end_call()
 
-    async def wait_for_budget(self, budget: Budget, path: str, rows: int) -> None:
+    async def wait_for_budget(self, budget: RateBudget, path: str, rows: int) -> None:
         """Wait for this process's rate budget, at most as long as for an answer."""
         deadline = time.monotonic() + self.timeout_s
         while delay := budget.take_or_delay(rows, self.priority, time.monotonic()):
@@ -102,7 +102,11 @@
             raise PlatformOutcomeUnknown(f"{path}: {error!r}") from None
 
     def check_status(
-        self, path: str, answer: httpx.Response, good: tuple[int, ...], budget: Budget
+        self,
+        path: str,
+        answer: httpx.Response,
+        good: tuple[int, ...],
+        budget: RateBudget,
     ) -> httpx.Response:
         """Return an answer with an expected status, or raise the error for its status."""
         if answer.status_code in good:
--- a/src/godwitmast/platform_api/limits.py
+++ b/src/godwitmast/platform_api/limits.py
@@ -20,7 +20,7 @@
     """Claims and answers: their number grows with the callers' requests."""
 
 
-class Budget:
+class RateBudget:
     """A token bucket of rows a second, with a reserve that only control calls may use.
 
     Load pattern: a burst of claims exceeds the rate limit of the platform, which then
@@ -56,7 +56,7 @@
         self.filled_at = now
 
 
-class Breaker:
+class CircuitBreaker:
     """A circuit breaker: fails calls at once while the platform does not answer.
 
     Otherwise each call during an outage would wait for its whole time-out, and callers
--- a/src/godwitmast/platform_api/time_agreement.py
+++ b/src/godwitmast/platform_api/time_agreement.py
@@ -24,28 +24,28 @@
         self.local = own
         self.difference_s: float | None = None
         self.store_s = 0.0
-        self.heard_at: float | None = None
+        self.updated_at: float | None = None
 
-    def heard(self, store_s: float) -> None:
+    def update_store_time(self, store_s: float) -> None:
         """Update the store's clock from an answer that has just arrived.
 
         Answers may arrive out of order, so an older time is ignored.
         """
-        if self.heard_at is None or store_s >= self.store_now():
-            self.store_s, self.heard_at = store_s, self.local.now()
+        if self.updated_at is None or store_s >= self.store_now():
+            self.store_s, self.updated_at = store_s, self.local.now()
 
     def store_now(self) -> float:
         """Return the present time by the store's clock, extrapolated from its last answer."""
-        assert self.heard_at is not None, (
+        assert self.updated_at is not None, (
             "the store's clock is unknown before its first answer"
         )
-        return self.store_s + self.local.now() - self.heard_at
+        return self.store_s + self.local.now() - self.updated_at
 
     def now(self) -> float:
         return self.local.now()
 
     def wall(self) -> float:
-        if self.difference_s is None or self.heard_at is None:
+        if self.difference_s is None or self.updated_at is None:
             return self.local.wall()
         return self.store_now() + self.difference_s
 
@@ -53,7 +53,7 @@
 def agree_on_time(clock: AgreedClock) -> Steps[bool]:
     """Read the stored clock difference, or store it; return whether it is known now."""
     found = yield Read([CLOCK_KEY])
-    if not isinstance(found, Rows) or clock.heard_at is None:
+    if not isinstance(found, Rows) or clock.updated_at is None:
         return False
     row = found.value(CLOCK_KEY)
     if row is not None:
--- a/src/godwitmast/relay/driver.py
+++ b/src/godwitmast/relay/driver.py
@@ -218,7 +218,7 @@
 
     async def send_beats(self, socket: ServerConnection) -> None:
         while True:
-            await self.send_frame(socket, Beat(not self.group.failing, self.vms()))
+            await self.send_frame(socket, Beat(not self.group.last_failed, self.vms()))
             await anyio.sleep(HEARTBEAT_S)
 
     async def send_tables(self, socket: ServerConnection) -> None:
--- a/src/godwitmast/relay/feed.py
+++ b/src/godwitmast/relay/feed.py
@@ -19,9 +19,9 @@
 class StoreClock(Protocol):
     """The platform's clock as estimated by this VM."""
 
-    heard_at: float | None
+    updated_at: float | None
 
-    def heard(self, store_s: float) -> None: ...
+    def update_store_time(self, store_s: float) -> None: ...
 
     def store_now(self) -> float: ...
 
@@ -46,7 +46,7 @@
 
     def fresh_left_s(self, copy: TableCopy) -> float:
         """Return for how many seconds a relay's copy is still fresh; negative if not."""
-        if self.clock.heard_at is None:
+        if self.clock.updated_at is None:
             return 0.0
         return copy.relay_confirmed_at + self.sharing.fresh_s - self.clock.store_now()
 
@@ -54,7 +54,7 @@
         """Return the seconds since the platform last confirmed this VM's copy."""
         copy = self.copy_of(table)
         confirmed_at = max(copy.own_confirmed_at, copy.relay_confirmed_at)
-        if self.clock.heard_at is None or math.isinf(confirmed_at):
+        if self.clock.updated_at is None or math.isinf(confirmed_at):
             return math.inf
         return max(0.0, self.clock.store_now() - confirmed_at)
 
@@ -146,7 +146,7 @@
     ) -> Changes | HistoryLost:
         """Poll the platform; a relay's poll is shorter, to keep its followers fresh."""
         copy = self.copy_of(table)
-        if self.serves_followers and self.clock.heard_at is not None:
+        if self.serves_followers and self.clock.updated_at is not None:
             since_s = self.clock.store_now() - copy.own_confirmed_at
             wait_s = min(wait_s, max(0.0, self.sharing.confirm_s - since_s))
         answer = await self.store.changes(table, after, wait_s)
@@ -155,7 +155,7 @@
         return answer
 
     def record_answer(self, copy: TableCopy) -> None:
-        if self.clock.heard_at is not None:
+        if self.clock.updated_at is not None:
             copy.own_confirmed_at = self.clock.store_now()
         self.notify_waiters()
 
@@ -204,11 +204,11 @@
         """
         if not math.isfinite(frame.confirmed_at):
             raise PeerError("table frame without a time")
-        if self.clock.heard_at is not None:
+        if self.clock.updated_at is not None:
             ahead_s = frame.confirmed_at - self.clock.store_now()
             if ahead_s > MAX_CLOCK_AHEAD_S:
                 raise PeerError(f"table frame's time is {ahead_s:.0f} s ahead")
-        self.clock.heard(frame.confirmed_at)
+        self.clock.update_store_time(frame.confirmed_at)
         copy = self.copy_of(frame.table)
         rows = [FeedRow(key, content) for key, content in frame.rows]
         match frame:
--- a/src/godwitmast/relay/table.py
+++ b/src/godwitmast/relay/table.py
@@ -84,11 +84,11 @@
     ) -> TransactOutcome:
         """Write through the relay if it is available, which gathers others' writes."""
         if len(msgspec.json.encode(writes)) > MAX_WRITE_BYTES:
-            return await self.transact_alone(checks, writes)
+            return await self.transact_directly(checks, writes)
         if self.relay.machine.serving:
             return await self.relay.group.transact(checks, writes)
         if not self.through_link:
-            return await self.transact_alone(checks, writes)
+            return await self.transact_directly(checks, writes)
         try:
             return await self.relay.link.transact(checks, writes, self.timeout_s)
         except PlatformUnavailable:
@@ -96,13 +96,13 @@
         except PlatformError:
             self.record_failure()
             raise
-        return await self.transact_alone(checks, writes)
+        return await self.transact_directly(checks, writes)
 
     def record_failure(self) -> None:
         self.direct_until = self.clock.now() + DIRECT_WRITE_S
         self.on_failure()
 
-    async def transact_alone(
+    async def transact_directly(
         self, checks: dict[str, int], writes: dict[str, Json]
     ) -> TransactOutcome:
         outcome = await self.store.transact(checks, writes)
--- a/tests/test_platform_client.py
+++ b/tests/test_platform_client.py
@@ -8,7 +8,12 @@
 from godwitmast.errors import PlatformOutcomeUnknown, PlatformUnavailable
 from godwitmast.platform_api.client import PlatformClient
 from godwitmast.platform_api.group_commit import GroupCommit
-from godwitmast.platform_api.limits import FAILURES_TO_OPEN, Breaker, Budget, Priority
+from godwitmast.platform_api.limits import (
+    FAILURES_TO_OPEN,
+    CircuitBreaker,
+    Priority,
+    RateBudget,
+)
 from godwitmast.platform_api.messages import Conflict, Written
 from godwitmast.settings import PlatformSettings
 from godwitmast.standins.platform import StandinPlatform
@@ -20,7 +25,7 @@
 
 
 def test_bulk_leaves_a_reserve_to_control() -> None:
-    budget = Budget(20.0)
+    budget = RateBudget(20.0)
     taken = 0
     while not budget.take_or_delay(1, Priority.BULK, 100.0):
         taken += 1
@@ -31,7 +36,7 @@
 
 
 def test_rate_holds_over_time() -> None:
-    budget = Budget(10.0)
+    budget = RateBudget(10.0)
     now, taken = 0.0, 0
     while now < 60.0:
         delay = budget.take_or_delay(1, Priority.CONTROL, now)
@@ -41,7 +46,7 @@
 
 
 def test_open_breaker_allows_one_probe_at_a_time() -> None:
-    breaker = Breaker(random.Random(1))
+    breaker = CircuitBreaker(random.Random(1))
     for _ in range(FAILURES_TO_OPEN):
         assert breaker.allow_call(0.0)
         breaker.record_failure(0.0)
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -497,7 +497,9 @@
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
     fleet.store.faults.refused = 503
-    await fleet.until(lambda: fleet.node.followers[0].view.away_since is not None)
+    await fleet.until(
+        lambda: fleet.node.followers[0].view.unreachable_since is not None
+    )
     assert (await fleet.ask(http, "/pay/1", "POST")).status_code == 200
     assert fleet.node.app.ready
 
@@ -506,7 +508,9 @@
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
     fleet.store.faults.refused = 503
-    await fleet.until(lambda: fleet.node.followers[0].view.away_since is not None)
+    await fleet.until(
+        lambda: fleet.node.followers[0].view.unreachable_since is not None
+    )
     fleet.store.put_config(config_of(7))
     fleet.store.forget_history()
     fleet.store.faults.refused = None
--- a/tests/test_relay_feed.py
+++ b/tests/test_relay_feed.py
@@ -29,9 +29,9 @@
 class Clock:
     """The platform's clock, known exactly."""
 
-    heard_at: float | None = 0.0
+    updated_at: float | None = 0.0
 
-    def heard(self, store_s: float) -> None:
+    def update_store_time(self, store_s: float) -> None:
         return
 
     def store_now(self) -> float:
@@ -207,7 +207,7 @@
     feed = SharedFeed(Store(), clock, SHARING)
     with pytest.raises(PeerError):
         feed.apply_frame(TableTold(TABLE, 5, [], float("-inf")))
-    assert clock.heard_at is None
+    assert clock.updated_at is None
 
 
 async def test_table_that_the_platform_has_not_told_is_not_passed_on() -> None:
--- a/tests/test_silent_store.py
+++ b/tests/test_silent_store.py
@@ -32,7 +32,7 @@
 class LoopClock:
     """The platform's clock and the VM's, both of which are the event loop's here."""
 
-    heard_at: float | None = 0.0
+    updated_at: float | None = 0.0
 
     def now(self) -> float:
         return anyio.current_time()
@@ -40,7 +40,7 @@
     def wall(self) -> float:
         return anyio.current_time()
 
-    def heard(self, store_s: float) -> None:
+    def update_store_time(self, store_s: float) -> None:
         return
 
     def store_now(self) -> float:
@@ -128,7 +128,7 @@
                 await self.store.write()
             except PlatformOutcomeUnknown:
                 if self.doubts:
-                    self.follower.doubt()
+                    self.follower.reissue_wait()
             await anyio.sleep(WRITE_EVERY_S)
 
     async def hear(self, relay: "Vm") -> None:
--- a/tests/test_time_agreement.py
+++ b/tests/test_time_agreement.py
@@ -29,7 +29,7 @@
 
 def agreed(platform: FakePlatform, own: JumpyClock) -> AgreedClock:
     clock = AgreedClock(own)
-    clock.heard(own.seconds + 50.0)
+    clock.update_store_time(own.seconds + 50.0)
     assert platform.run(agree_on_time(clock))
     return clock
 
@@ -54,7 +54,7 @@
     own = JumpyClock()
     clock = agreed(FakePlatform(), own)
     before = clock.wall()
-    clock.heard(own.seconds + 50.0 + 30.0)
+    clock.update_store_time(own.seconds + 50.0 + 30.0)
     assert clock.wall() == before + 30.0
 
 
@@ -62,7 +62,7 @@
     own = JumpyClock()
     clock = agreed(FakePlatform(), own)
     before = clock.wall()
-    clock.heard(own.seconds + 49.0)
+    clock.update_store_time(own.seconds + 49.0)
     assert clock.wall() == before
 
 
@@ -70,7 +70,7 @@
     platform = FakePlatform()
     first, second = AgreedClock(JumpyClock()), AgreedClock(JumpyClock(7.0))
     for clock in (first, second):
-        clock.heard(50.0)
+        clock.update_store_time(50.0)
     steps = agree_on_time(second)
     read = platform.take(next(steps))
     assert isinstance(read, Rows)
@@ -87,7 +87,7 @@
 def test_lost_answer_is_settled_by_reading_again(fate: Fate) -> None:
     platform = FakePlatform()
     clock = AgreedClock(JumpyClock())
-    clock.heard(50.0)
+    clock.update_store_time(50.0)
     steps = agree_on_time(clock)
     write = steps.send(platform.take(next(steps)))
     with pytest.raises(StopIteration) as stop:
