--- a/src/godwitmast/background.py
+++ b/src/godwitmast/background.py
@@ -7,7 +7,7 @@
 from anyio.abc import TaskGroup
 
 
-class Background:
+class BackgroundTasks:
     """A daemon's background loops, with explicit start and close.
 
     `close` returns only when every loop has ended, so that the resources they use can
--- a/src/godwitmast/capacity/follower.py
+++ b/src/godwitmast/capacity/follower.py
@@ -6,7 +6,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from godwitmast.background import Background
+from godwitmast.background import BackgroundTasks
 from godwitmast.capacity.demand import DEMAND_KEY_PREFIX, DemandKey, DemandMeter
 from godwitmast.capacity.fleet import EMPTY, SERVERS_KEY, FleetRow, load_fleet
 from godwitmast.errors import PlatformError
@@ -39,7 +39,7 @@
         self.incarnation = secrets.token_hex(4)
         self.current = EMPTY
         self.newer_published = anyio.Event()
-        self.background = Background(self.run)
+        self.background = BackgroundTasks(self.run)
 
     async def start(self, tasks: TaskGroup) -> None:
         await self.background.start(tasks)
--- a/src/godwitmast/config/follower.py
+++ b/src/godwitmast/config/follower.py
@@ -6,7 +6,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from godwitmast.background import Background
+from godwitmast.background import BackgroundTasks
 from godwitmast.config.document import NumberedConfig
 from godwitmast.config.machine import ConfigState, Offered, catch_up
 from godwitmast.config.rows import Delta, Snapshot
@@ -47,7 +47,7 @@
         self.ready = anyio.Event()
         self.notified_version = 0
         self.last_contact: float | None = None
-        self.background = Background(self.run)
+        self.background = BackgroundTasks(self.run)
 
     @property
     def current(self) -> NumberedConfig | None:
--- a/src/godwitmast/daemons.py
+++ b/src/godwitmast/daemons.py
@@ -32,7 +32,7 @@
     def reload(self) -> None: ...
 
 
-def run_until_told(
+def run_until_signalled(
     program: str,
     log: LogSettings,
     make: Callable[[], Daemon],
--- a/src/godwitmast/entry/driver.py
+++ b/src/godwitmast/entry/driver.py
@@ -16,7 +16,7 @@
 from anyio.streams.memory import MemoryObjectReceiveStream, MemoryObjectSendStream
 
 from godwitmast.backends.client import BackendClient
-from godwitmast.background import Background
+from godwitmast.background import BackgroundTasks
 from godwitmast.capacity.demand import OPEN
 from godwitmast.capacity.fleet import EMPTY, FleetRow, merge_backends
 from godwitmast.clock import Clock
@@ -76,7 +76,7 @@
         self.mailboxes: dict[RequestId, MemoryObjectSendStream[Action]] = {}
         self.request_submitted = anyio.Event()
         self.pool_of_request: dict[RequestId, PoolName] = {}
-        self.background = Background(self.run_ticks, self.run_load_polls)
+        self.background = BackgroundTasks(self.run_ticks, self.run_load_polls)
         self.cancel_callbacks: dict[AttemptId, Callable[[CancelReason], None]] = {}
         self.cancelled: dict[RequestId, set[AttemptId]] = {}
         self.polls: Callable[[BackendId], bool] = lambda backend_id: True
--- a/src/godwitmast/entry/peering.py
+++ b/src/godwitmast/entry/peering.py
@@ -8,7 +8,7 @@
 from anyio.abc import TaskGroup
 from prometheus_client import CollectorRegistry, Gauge
 
-from godwitmast.background import Background
+from godwitmast.background import BackgroundTasks
 from godwitmast.clock import Clock
 from godwitmast.config.document import NumberedConfig
 from godwitmast.config.follower import ConfigFollower
@@ -121,7 +121,7 @@
         self.service = ServiceSpreading(app.driver, self.driver, clock)
         self.poison = PoisonSpreading(app.driver, self.driver, clock)
         self.leaving = LeavingSpreading(app.driver, self.driver)
-        self.background = Background(self.run_vm_list, self.run_publishing)
+        self.background = BackgroundTasks(self.run_vm_list, self.run_publishing)
         follower.listeners.append(self.config_changed)
         follower.peers_push_changes = self.is_linked
         add_peer_gauges(app.metrics.registry, self.driver)
--- a/src/godwitmast/http_server.py
+++ b/src/godwitmast/http_server.py
@@ -63,7 +63,7 @@
         self.stopping = anyio.Event()
         self.stopped = anyio.Event()
 
-    def limit(self, max_header_bytes: int, keep_alive_s: float) -> None:
+    def set_connection_limits(self, max_header_bytes: int, keep_alive_s: float) -> None:
         """Set the limits of connections; open ones keep their header limit."""
         self.config.h11_max_incomplete_size = max_header_bytes
         self.config.keep_alive_timeout = keep_alive_s
--- a/src/godwitmast/logs.py
+++ b/src/godwitmast/logs.py
@@ -126,7 +126,7 @@
     return '"' + text.encode("unicode_escape").decode().replace('"', r"\"") + '"'
 
 
-def quiet_logger(name: str) -> logging.Logger:
+def silent_logger(name: str) -> logging.Logger:
     """Return a logger that discards a library's lines about failed handshakes.
 
     Such a failure is logged as an event instead; the library's line has a traceback.
--- a/src/godwitmast/peers/driver.py
+++ b/src/godwitmast/peers/driver.py
@@ -17,7 +17,7 @@
 from godwitmast.clock import Clock
 from godwitmast.errors import PeerError
 from godwitmast.http_server import bind
-from godwitmast.logs import log_event, quiet_logger
+from godwitmast.logs import log_event, silent_logger
 from godwitmast.peers.codec import MAX_FRAME_BYTES, decode_frame, encode_frame
 from godwitmast.peers.config_source import ConfigSource
 from godwitmast.peers.machine import MAX_LINKS, PeerMachine
@@ -48,7 +48,7 @@
 LEAVE_FLUSH_S = 0.5
 """How long a stopping node waits until its last frames are written."""
 
-WEBSOCKET_LOGGER = quiet_logger("godwitmast.websockets")
+WEBSOCKET_LOGGER = silent_logger("godwitmast.websockets")
 
 
 class PeerDriver:
--- a/src/godwitmast/platform/__main__.py
+++ b/src/godwitmast/platform/__main__.py
@@ -4,7 +4,7 @@
 import sys
 from pathlib import Path
 
-from godwitmast.daemons import EXIT_USAGE, run_until_told
+from godwitmast.daemons import EXIT_USAGE, run_until_signalled
 from godwitmast.errors import SettingsError
 from godwitmast.logs import LogTarget
 from godwitmast.platform.daemon import Node
@@ -25,7 +25,7 @@
     if check:
         print("settings are valid")
         return 0
-    return run_until_told(
+    return run_until_signalled(
         "godwit-node", LogSettings(), lambda: Node(settings, path), LogTarget.STDOUT
     )
 
--- a/src/godwitmast/platform/daemon.py
+++ b/src/godwitmast/platform/daemon.py
@@ -48,8 +48,8 @@
 from godwitmast.relay.driver import RelayDriver
 from godwitmast.relay.feed import SharedFeed
 from godwitmast.settings import Listen, load_settings
-from godwitmast.sockets import SILENCE_OPTIONS
-from godwitmast.tls import trusting_nobody
+from godwitmast.sockets import DEAD_PEER_OPTIONS
+from godwitmast.tls import tls_without_authorities
 from godwitmast.types import PoolName
 from godwitmast.usage.duty import UsageDuty
 from godwitmast.usage.journal import Journal
@@ -160,7 +160,9 @@
         self.true_time = AgreedClock(self.clock)
         self.store = StoreClient(settings, self.true_time.update_store_time)
         self.client = BackendClient(
-            wire=ReplicaWire(), socket_options=SILENCE_OPTIONS, tls=trusting_nobody()
+            wire=ReplicaWire(),
+            socket_options=DEAD_PEER_OPTIONS,
+            tls=tls_without_authorities(),
         )
         self.front = RouteFront()
         self.budgets = DividedBudgets(
@@ -369,7 +371,9 @@
         self.front.take_catalog(catalog)
         self.app.config_changed(catalog.config)
         limits = catalog.limits
-        self.callers.limit(limits.max_header_bytes, limits.idle_timeout_ms / 1000)
+        self.callers.set_connection_limits(
+            limits.max_header_bytes, limits.idle_timeout_ms / 1000
+        )
 
     def take_servers(self, rows: dict[str, bytes]) -> None:
         """Take the backend servers that name themselves in the store."""
--- a/src/godwitmast/platform/store.py
+++ b/src/godwitmast/platform/store.py
@@ -30,8 +30,8 @@
 from godwitmast.platform_api.messages import Conflict, Row, TransactOutcome, Written
 from godwitmast.platform_api.port import Changes, FeedRow, HistoryLost, Snapshot
 from godwitmast.settings import Listen, PlatformSettings
-from godwitmast.sockets import SILENCE_OPTIONS
-from godwitmast.tls import trusting_nobody
+from godwitmast.sockets import DEAD_PEER_OPTIONS
+from godwitmast.tls import tls_without_authorities
 from godwitmast.types import Json, PoolName
 from godwitmast.usage.rows import FrozenWindow
 
@@ -80,10 +80,10 @@
 def make_http(address: Listen, timeout_s: float) -> httpx.AsyncClient:
     limits = httpx.Limits(max_connections=CONNECTIONS, keepalive_expiry=60)
     transport = httpx.AsyncHTTPTransport(
-        verify=trusting_nobody(),
+        verify=tls_without_authorities(),
         limits=limits,
         trust_env=False,
-        socket_options=SILENCE_OPTIONS,
+        socket_options=DEAD_PEER_OPTIONS,
     )
     return httpx.AsyncClient(
         base_url=url_of(address),
--- a/src/godwitmast/platform_api/feed.py
+++ b/src/godwitmast/platform_api/feed.py
@@ -7,7 +7,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from godwitmast.background import Background
+from godwitmast.background import BackgroundTasks
 from godwitmast.clock import Clock
 from godwitmast.errors import PlatformError
 from godwitmast.logs import log_event
@@ -134,7 +134,7 @@
         self.own_call = True
         self.rows_lapsed = anyio.Event()
         self.wait_scope: anyio.CancelScope | None = None
-        self.background = Background(self.run, self.run_expiry)
+        self.background = BackgroundTasks(self.run, self.run_expiry)
 
     async def start(self, tasks: TaskGroup) -> None:
         await self.background.start(tasks)
--- a/src/godwitmast/program.py
+++ b/src/godwitmast/program.py
@@ -7,7 +7,7 @@
 import typer
 
 from godwitmast import __version__
-from godwitmast.daemons import EXIT_OK, EXIT_USAGE, Daemon, run_until_told
+from godwitmast.daemons import EXIT_OK, EXIT_USAGE, Daemon, run_until_signalled
 from godwitmast.errors import SettingsError
 from godwitmast.logs import LogTarget
 from godwitmast.settings import LogSettings, load_settings
@@ -59,6 +59,6 @@
     target: LogTarget = LogTarget.STDERR,
 ) -> None:
     """Run a daemon until a signal stops it, and exit with an error if it failed."""
-    code = run_until_told(program, log, make, target)
+    code = run_until_signalled(program, log, make, target)
     if code != EXIT_OK:
         raise typer.Exit(code)
--- a/src/godwitmast/relay/links.py
+++ b/src/godwitmast/relay/links.py
@@ -9,7 +9,7 @@
 from websockets.exceptions import ConnectionClosed, WebSocketException
 
 from godwitmast.errors import PeerError, PlatformOutcomeUnknown, PlatformUnavailable
-from godwitmast.logs import log_event, quiet_logger
+from godwitmast.logs import log_event, silent_logger
 from godwitmast.platform_api.messages import (
     Conflict,
     Row,
@@ -33,7 +33,7 @@
 
 CLOSE_TIMEOUT_S = 0.5
 
-WEBSOCKET_LOGGER = quiet_logger("godwitmast.relay.websockets")
+WEBSOCKET_LOGGER = silent_logger("godwitmast.relay.websockets")
 
 OPTIONS: dict[str, Any] = {
     "max_size": MAX_FRAME_BYTES,
--- a/src/godwitmast/sockets.py
+++ b/src/godwitmast/sockets.py
@@ -13,7 +13,7 @@
 probes cost one packet a second on an idle connection, and no call. Three seconds are six
 times the longest round trip between two regions with two packets lost."""
 
-SILENCE_OPTIONS = [
+DEAD_PEER_OPTIONS = [
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_IDLE_S),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL_S),
--- a/src/godwitmast/tls.py
+++ b/src/godwitmast/tls.py
@@ -110,7 +110,7 @@
     return server_tls(TlsFiles(*files))
 
 
-def trusting_nobody() -> ssl.SSLContext:
+def tls_without_authorities() -> ssl.SSLContext:
     """Return a context for clients that use plain HTTP only.
 
     The default context loads all well-known authorities, which takes megabytes.
