--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -23,7 +23,7 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1] / "tests"))
 
-from fleet import PROMPT, config_of, head, settings_of  # noqa: E402
+from fleet import PROMPT, config_of, request_headers, settings_of  # noqa: E402
 from godwitmast.dev.document import MODEL, dev_document, dev_key  # noqa: E402
 from godwitmast.platform.wire import READY_PATH  # noqa: E402
 from processes import Process, Processes  # noqa: E402
@@ -60,7 +60,10 @@
     b'"content"',
 )
 PLATFORM_CALL = Call(
-    "/chat/1", {**head(), **PROMPT, "Deadline-Ms": "60000"}, b"q" * 1500, b"data:"
+    "/chat/1",
+    {**request_headers(), **PROMPT, "Deadline-Ms": "60000"},
+    b"q" * 1500,
+    b"data:",
 )
 
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -88,7 +88,7 @@
     }
 
 
-def head(attempt_id: str = "a1", **more: str) -> dict[str, str]:
+def request_headers(attempt_id: str = "a1", **more: str) -> dict[str, str]:
     """Return the headers of a caller's request."""
     return {
         "Host": HOST,
@@ -129,7 +129,7 @@
         self.node = Node(settings, metrics_port=0)
         await self.node.start(tasks)
         if self.configured:
-            await self.until(lambda: self.node.app.ready)
+            await self.wait_until(lambda: self.node.app.ready)
 
     async def close(self) -> None:
         self.store.faults.refused = 503
@@ -146,12 +146,12 @@
     def url(self) -> str:
         return self.node.callers.url
 
-    async def until(self, holds: Any) -> None:
+    async def wait_until(self, holds: Any) -> None:
         with anyio.fail_after(READY_WITHIN_S):
             while not holds():
                 await anyio.sleep(0.01)
 
-    async def ask(
+    async def request(
         self,
         http: httpx.AsyncClient,
         path: str,
@@ -162,11 +162,13 @@
         return await http.request(
             method,
             self.url + path,
-            headers=head(**{k.replace("_", "-"): v for k, v in headers.items()}),
+            headers=request_headers(
+                **{k.replace("_", "-"): v for k, v in headers.items()}
+            ),
             content=content,
         )
 
     async def configure(self, version: int, **more: Any) -> None:
         """Store a configuration, and wait until it is in force on the node."""
         self.store.put_config(config_of(version, **more))
-        await self.until(lambda: self.node.config_version() == version)
+        await self.wait_until(lambda: self.node.config_version() == version)
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -25,7 +25,7 @@
     async def settle(self) -> None:
         for replica in self.in_z2:
             replica.say(READY, zone="z2")
-        await self.until(
+        await self.wait_until(
             lambda: (
                 sum(item.zone == "z2" for item in self.node.driver.backends.values())
                 == 2
@@ -38,15 +38,15 @@
 
     async def evacuate(self, zone: str = "z2", content: bytes = b"{}") -> None:
         self.store.put(OPERATOR_TABLE, f"evacuate/{zone}", content)
-        await self.until(lambda: zone in self.node.driver.evacuated)
+        await self.wait_until(lambda: zone in self.node.driver.evacuated)
 
     async def restore(self, zone: str = "z2") -> None:
         self.store.remove(OPERATOR_TABLE, f"evacuate/{zone}")
-        await self.until(lambda: zone not in self.node.driver.evacuated)
+        await self.wait_until(lambda: zone not in self.node.driver.evacuated)
 
     async def ask_often(self, http: httpx.AsyncClient) -> list[int]:
         answers = [
-            await self.ask(http, path, method, **{"Attempt-Id": f"{path}{n}"})
+            await self.request(http, path, method, **{"Attempt-Id": f"{path}{n}"})
             for n in range(6)
             for path, method in (("/peek/1", "GET"), ("/digest/1", "POST"))
         ]
@@ -75,7 +75,7 @@
     """The only other server of the pool that a failed request could go to is there."""
     await fleet.evacuate()
     fleet.plain[0].faults.status = 500
-    answer = await fleet.ask(http, "/peek/1")
+    answer = await fleet.request(http, "/peek/1")
     assert answer.status_code == 500
     assert not any(replica.served for replica in fleet.in_z2)
 
@@ -86,7 +86,7 @@
     await fleet.evacuate()
     await fleet.restore()
     fleet.plain[0].faults.sheds = True
-    answer = await fleet.ask(http, "/peek/1")
+    answer = await fleet.request(http, "/peek/1")
     assert answer.status_code == 200
     assert fleet.plain[1].served
 
@@ -97,7 +97,7 @@
     """All zones that have the service are evacuated at once."""
     await fleet.evacuate("z1")
     await fleet.evacuate("z2")
-    answer = await fleet.ask(http, "/pay/1", "POST")
+    answer = await fleet.request(http, "/pay/1", "POST")
     assert answer.status_code == 503
     assert float(answer.headers["retry-after"]) > 0
 
@@ -116,7 +116,7 @@
 ) -> None:
     await fleet.evacuate("nowhere")
     fleet.plain[0].faults.sheds = True
-    assert (await fleet.ask(http, "/peek/1")).status_code == 200
+    assert (await fleet.request(http, "/peek/1")).status_code == 200
     assert fleet.plain[1].served
 
 
@@ -128,7 +128,7 @@
     await fleet.configure(2, services=services)
     await fleet.evacuate()
     fleet.engines[0].say(READY, coldLeftMs=30_000)
-    await fleet.until(lambda: fleet.node.driver.count_cold() == 1)
+    await fleet.wait_until(lambda: fleet.node.driver.count_cold() == 1)
     page = (await http.get(f"{fleet.node.scrapes.url}/metrics")).text
     assert "godwit_zone_evacuated 1.0" in page
     assert "godwit_cold_servers 1.0" in page
@@ -149,7 +149,7 @@
     """A VM starts in the midst of an evacuation, and serves as soon as it is ready."""
     async with running(EvacuatedFleet()) as fleet:
         fleet.store.put_config(config_of(1))
-        await fleet.until(lambda: fleet.node.app.ready)
-        answer = await fleet.ask(http, "/peek/1")
+        await fleet.wait_until(lambda: fleet.node.app.ready)
+        answer = await fleet.request(http, "/peek/1")
         assert answer.status_code == 503
         assert not any(replica.served for replica in fleet.replicas)
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -41,8 +41,8 @@
     async with running(Fleet()) as fleet:
         servers: FeedFollower = fleet.node.followers[1]
         fleet.store.faults.refused = 503
-        await fleet.until(lambda: servers.view.unreachable_since is not None)
+        await fleet.wait_until(lambda: servers.view.unreachable_since is not None)
         for replica in fleet.replicas:
             fleet.store.remove_server(replica.server_id)
         fleet.store.faults.refused = None
-        await fleet.until(lambda: not fleet.node.driver.listed)
+        await fleet.wait_until(lambda: not fleet.node.driver.listed)
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -8,7 +8,7 @@
 import httpx
 import pytest
 
-from fleet import HOST, KEY, OTHER_KEY, PROMPT, Fleet, config_of, head, route
+from fleet import HOST, KEY, OTHER_KEY, PROMPT, Fleet, config_of, request_headers, route
 from godwitmast.capacity.zonal_duty import ROUND_S
 from godwitmast.platform import front
 from godwitmast.platform.daemon import BALANCER_WAIT_S
@@ -39,7 +39,7 @@
     answer = await http.request(
         "POST",
         fleet.url,
-        headers=head(**{"X-Note": "hello"}),
+        headers=request_headers(**{"X-Note": "hello"}),
         content=b"ten dollars",
         extensions={"target": path.encode()},
     )
@@ -68,14 +68,14 @@
     config = config_of(2)
     config["services"][0]["engine"] = {"kvTokenBytes": 1000, "linkMbps": 1_000_000.0}
     fleet.store.put_config(config)
-    await fleet.until(lambda: fleet.node.config_version() == 2)
+    await fleet.wait_until(lambda: fleet.node.config_version() == 2)
     prompt = {"Prompt-Prefix": "aa:5000,bb:100", "Token-Usage": "5100,10"}
-    await fleet.ask(http, "/chat/1", "POST", **prompt)
+    await fleet.request(http, "/chat/1", "POST", **prompt)
     first = next(engine for engine in fleet.engines if engine.served)
     other = next(engine for engine in fleet.engines if engine is not first)
     assert "kv-fetch" not in first.served[0].headers
     first.faults.sheds = True
-    await fleet.ask(http, "/chat/1", "POST", **prompt, **{"Attempt-Id": "a2"})
+    await fleet.request(http, "/chat/1", "POST", **prompt, **{"Attempt-Id": "a2"})
     source = f"127.0.0.1:{first.server.port}"
     assert other.served[-1].headers["kv-fetch"] == source
 
@@ -84,7 +84,7 @@
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
     forged = {"Tenant": "couva", "Hold": "h", "Pin_Ms": "9", "Kv_From": "1.2.3.4:5/x"}
-    await fleet.ask(http, "/chat/1", "POST", **forged, **{"X_Key": KEY})
+    await fleet.request(http, "/chat/1", "POST", **forged, **{"X_Key": KEY})
     [served] = [s for replica in fleet.engines for s in replica.served]
     assert served.headers["tenant"] == "arima"
     # The route's priority is 1, the team's 3.
@@ -113,7 +113,7 @@
     headers: dict[str, str],
     status: int,
 ) -> None:
-    answer = await fleet.ask(http, path, **headers)
+    answer = await fleet.request(http, path, **headers)
     assert answer.status_code == status
     assert not any(replica.served for replica in fleet.replicas)
 
@@ -121,7 +121,7 @@
 async def test_longest_prefix_chooses_the_route(
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
-    await fleet.ask(http, "/peek/deep/1")
+    await fleet.request(http, "/peek/deep/1")
     assert [bool(e.served) for e in fleet.plain] == [False, False]
     assert any(engine.served for engine in fleet.engines)
 
@@ -129,7 +129,7 @@
 async def test_public_route_takes_requests_without_a_key(
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
-    answer = await fleet.ask(http, "/open/1", Authorization="Bearer wrong")
+    answer = await fleet.request(http, "/open/1", Authorization="Bearer wrong")
     assert answer.status_code == 200
     [served] = [s for replica in fleet.plain for s in replica.served]
     assert "tenant" not in served.headers
@@ -143,7 +143,7 @@
         engine.event_s = 0.2
     came: list[float] = []
     url = fleet.url + "/chat/1"
-    async with http.stream("POST", url, headers=head(**PROMPT)) as answer:
+    async with http.stream("POST", url, headers=request_headers(**PROMPT)) as answer:
         text = ""
         async for piece in answer.aiter_text():
             came.append(anyio.current_time())
@@ -166,13 +166,13 @@
     asked = anyio.Event()
 
     async def mend() -> None:
-        await fleet.until(lambda: first.served or second.served)
+        await fleet.wait_until(lambda: first.served or second.served)
         (second if first.served else first).faults.cut_after = None
         asked.set()
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(mend)
-        answer = await fleet.ask(http, "/chat/1", "POST", **PROMPT)
+        answer = await fleet.request(http, "/chat/1", "POST", **PROMPT)
     assert answer.text == "".join(f"id: {n}\ndata: event {n}\n\n" for n in range(1, 6))
     served = [s for engine in fleet.engines for s in engine.served]
     resumed = [s.headers.get("last-event-id") for s in served]
@@ -187,7 +187,7 @@
     for engine in fleet.engines:
         engine.faults.cut_after = 2
     with pytest.raises(httpx.RemoteProtocolError):
-        await fleet.ask(http, "/digest/1", "POST", **PROMPT)
+        await fleet.request(http, "/digest/1", "POST", **PROMPT)
     assert sum(len(engine.served) for engine in fleet.engines) == 1
 
 
@@ -195,7 +195,7 @@
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
     fleet.plain[0].faults.sheds = True
-    answers = [await fleet.ask(http, "/pay/1", "POST") for _ in range(6)]
+    answers = [await fleet.request(http, "/pay/1", "POST") for _ in range(6)]
     assert [answer.status_code for answer in answers] == [200] * 6
 
 
@@ -204,7 +204,7 @@
 ) -> None:
     for replica in fleet.plain:
         replica.faults.sheds = True
-    answer = await fleet.ask(http, "/pay/1", "POST")
+    answer = await fleet.request(http, "/pay/1", "POST")
     assert answer.status_code == 503
     assert float(answer.headers["retry-after"]) > 0
     assert not any(replica.served for replica in fleet.plain)
@@ -214,11 +214,11 @@
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
     fleet.plain[0].faults.status = 500
-    peeks = [await fleet.ask(http, "/peek/1") for _ in range(2)]
+    peeks = [await fleet.request(http, "/peek/1") for _ in range(2)]
     assert [answer.status_code for answer in peeks] == [200, 200]
     fleet.plain[1].faults.status = 500
     before = sum(len(replica.served) for replica in fleet.plain)
-    paid = await fleet.ask(http, "/pay/1", "POST")
+    paid = await fleet.request(http, "/pay/1", "POST")
     assert paid.status_code == 500
     assert paid.headers["server-seal"] in {"p1", "p2"}
     assert sum(len(replica.served) for replica in fleet.plain) == before + 1
@@ -229,7 +229,7 @@
 ) -> None:
     for replica in fleet.plain:
         replica.faults.status = 500
-    answer = await fleet.ask(http, "/peek/1")
+    answer = await fleet.request(http, "/peek/1")
     assert (answer.status_code, answer.content) == (500, b"answer of app")
     assert "server-seal" in answer.headers
     assert sum(len(replica.served) for replica in fleet.plain) == 2
@@ -245,7 +245,7 @@
     """
     for replica in fleet.plain:
         replica.faults.wrong_id = True
-    answer = await fleet.ask(http, "/pay/1", "POST")
+    answer = await fleet.request(http, "/pay/1", "POST")
     assert answer.status_code == 502
     assert "server-seal" not in answer.headers
     assert sum(len(replica.served) for replica in fleet.plain) == 1
@@ -256,7 +256,7 @@
 ) -> None:
     for replica in fleet.plain:
         replica.faults.cut_after = 1
-    answer = await fleet.ask(http, "/pay/1", "POST")
+    answer = await fleet.request(http, "/pay/1", "POST")
     assert answer.status_code == 502
 
 
@@ -266,11 +266,11 @@
     for engine in fleet.engines:
         engine.event_s = 0.3
     url = fleet.url + "/chat/1"
-    async with http.stream("POST", url, headers=head(**PROMPT)) as answer:
+    async with http.stream("POST", url, headers=request_headers(**PROMPT)) as answer:
         async for _ in answer.aiter_raw():
             break
-    await fleet.until(lambda: sum(engine.left for engine in fleet.engines) == 1)
-    await fleet.until(lambda: not fleet.node.app.exchanges)
+    await fleet.wait_until(lambda: sum(engine.left for engine in fleet.engines) == 1)
+    await fleet.wait_until(lambda: not fleet.node.app.exchanges)
 
 
 async def test_route_time_limit_is_the_final_answer(
@@ -278,7 +278,7 @@
 ) -> None:
     for replica in fleet.plain:
         replica.faults.hangs = True
-    answer = await fleet.ask(http, "/brief/1")
+    answer = await fleet.request(http, "/brief/1")
     assert answer.status_code == 504
     served = [s for replica in fleet.plain for s in replica.served]
     assert 0 < int(served[0].headers["deadline-ms"]) <= 300
@@ -288,16 +288,16 @@
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
     body = b"x" * 20_000
-    assert (await fleet.ask(http, "/pay/1", "POST", body)).status_code == 413
+    assert (await fleet.request(http, "/pay/1", "POST", body)).status_code == 413
     limits = config_of(1)["limits"] | {"maxBodyBytes": 30_000}
     await fleet.configure(2, limits=limits)
-    assert (await fleet.ask(http, "/pay/1", "POST", body)).status_code == 200
+    assert (await fleet.request(http, "/pay/1", "POST", body)).status_code == 200
 
 
 async def test_head_over_the_limit_is_refused(
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
-    answer = await fleet.ask(http, "/pay/1", "POST", X_Long="x" * 8_000)
+    answer = await fleet.request(http, "/pay/1", "POST", X_Long="x" * 8_000)
     assert answer.status_code in (400, 431)
     assert not any(replica.served for replica in fleet.plain)
 
@@ -366,8 +366,8 @@
 ) -> None:
     tenants = [{"name": "couva", "apiKeys": [OTHER_KEY]}]
     await fleet.configure(2, tenants=tenants)
-    assert (await fleet.ask(http, "/peek/1")).status_code == 401
-    other = await fleet.ask(http, "/peek/1", Authorization=f"Bearer {OTHER_KEY}")
+    assert (await fleet.request(http, "/peek/1")).status_code == 401
+    other = await fleet.request(http, "/peek/1", Authorization=f"Bearer {OTHER_KEY}")
     assert other.status_code == 200
 
 
@@ -381,8 +381,8 @@
     fleet.store.put_config({"version": 9, "routes": [{"name": "x"}]})
     moved.append(route("more", "/more/", "idempotent", "app"))
     await fleet.configure(10, routes=moved)
-    assert (await fleet.ask(http, "/peek/1")).status_code == 404
-    assert (await fleet.ask(http, "/more/1")).status_code == 200
+    assert (await fleet.request(http, "/peek/1")).status_code == 404
+    assert (await fleet.request(http, "/more/1")).status_code == 200
 
 
 async def test_routes_split_by_weight(fleet: Fleet, http: httpx.AsyncClient) -> None:
@@ -390,7 +390,7 @@
     routes = [route("peek", "/peek/", "idempotent", "none", split=split)]
     await fleet.configure(2, routes=routes)
     for _ in range(4):
-        await fleet.ask(http, "/peek/1")
+        await fleet.request(http, "/peek/1")
     assert sum(len(engine.served) for engine in fleet.engines) == 4
 
 
@@ -399,13 +399,13 @@
 ) -> None:
     first, second = fleet.plain
     first.say("draining")
-    await fleet.until(lambda: fleet.node.driver.listed["p1"].leaving)
+    await fleet.wait_until(lambda: fleet.node.driver.listed["p1"].leaving)
     for _ in range(4):
-        assert (await fleet.ask(http, "/peek/1")).status_code == 200
+        assert (await fleet.request(http, "/peek/1")).status_code == 200
     assert not first.served
     fleet.store.remove_server("p1")
-    await fleet.until(lambda: "p1" not in fleet.node.driver.listed)
-    assert (await fleet.ask(http, "/peek/1")).status_code == 200
+    await fleet.wait_until(lambda: "p1" not in fleet.node.driver.listed)
+    assert (await fleet.request(http, "/peek/1")).status_code == 200
     assert len(second.served) == 5
 
 
@@ -442,9 +442,9 @@
     fleet.store.put("servers", "odd", content)
     fleet.plain[0].say("ready", coldLeftMs=5)
     fleet.store.put_server("late", {"service": "lm"} | json_of(fleet, "e1"))
-    await fleet.until(lambda: "late" in fleet.node.driver.listed)
+    await fleet.wait_until(lambda: "late" in fleet.node.driver.listed)
     assert fleet.node.driver.listed.keys() == {"e1", "e2", "p1", "p2", "late"}
-    assert (await fleet.ask(http, "/peek/1")).status_code == 200
+    assert (await fleet.request(http, "/peek/1")).status_code == 200
 
 
 def json_of(fleet: Fleet, server_id: str) -> dict:
@@ -466,7 +466,7 @@
     that even a payment goes to another server.
     """
     fleet.plain[0].server_id = "new"
-    answers = [await fleet.ask(http, "/pay/1", "POST") for _ in range(4)]
+    answers = [await fleet.request(http, "/pay/1", "POST") for _ in range(4)]
     assert [answer.status_code for answer in answers] == [200] * 4
     assert not fleet.plain[0].served
 
@@ -475,8 +475,8 @@
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
     for _ in range(3):
-        await fleet.ask(http, "/peek/1")
-    await fleet.ask(http, "/chat/1", "POST", Authorization=f"Bearer {OTHER_KEY}")
+        await fleet.request(http, "/peek/1")
+    await fleet.request(http, "/chat/1", "POST", Authorization=f"Bearer {OTHER_KEY}")
 
     def counted() -> dict[str, int]:
         total: dict[str, int] = {}
@@ -485,7 +485,7 @@
                 total[team] = total.get(team, 0) + count
         return total
 
-    await fleet.until(lambda: counted() == {"arima": 3, "couva": 1})
+    await fleet.wait_until(lambda: counted() == {"arima": 3, "couva": 1})
     windows = [report.window for report in fleet.store.reports]
     assert len(windows) == len(set(windows))
     assert {report.holder for report in fleet.store.reports} == {"front-1"}
@@ -497,10 +497,10 @@
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
     fleet.store.faults.refused = 503
-    await fleet.until(
+    await fleet.wait_until(
         lambda: fleet.node.followers[0].view.unreachable_since is not None
     )
-    assert (await fleet.ask(http, "/pay/1", "POST")).status_code == 200
+    assert (await fleet.request(http, "/pay/1", "POST")).status_code == 200
     assert fleet.node.app.ready
 
 
@@ -508,13 +508,13 @@
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
     fleet.store.faults.refused = 503
-    await fleet.until(
+    await fleet.wait_until(
         lambda: fleet.node.followers[0].view.unreachable_since is not None
     )
     fleet.store.put_config(config_of(7))
     fleet.store.forget_history()
     fleet.store.faults.refused = None
-    await fleet.until(lambda: fleet.node.config_version() == 7)
+    await fleet.wait_until(lambda: fleet.node.config_version() == 7)
 
 
 async def test_node_that_knows_no_configuration_promises_not_run() -> None:
@@ -524,12 +524,12 @@
     is told that it is not ready.
     """
     async with running(Fleet(configured=False)) as fleet, httpx.AsyncClient() as http:
-        await fleet.until(lambda: fleet.node.servers_known)
+        await fleet.wait_until(lambda: fleet.node.servers_known)
         ready = f"{fleet.node.balancer.url}/api/ready"
         assert (await http.get(ready)).status_code == 503
-        assert (await fleet.ask(http, "/peek/1")).status_code == 503
+        assert (await fleet.request(http, "/peek/1")).status_code == 503
         fleet.store.put_config(config_of(1))
-        await fleet.until(lambda: fleet.node.app.ready)
+        await fleet.wait_until(lambda: fleet.node.app.ready)
         assert (await http.get(ready)).status_code == 200
         metrics = (await http.get(f"{fleet.node.scrapes.url}/metrics")).text
         assert "godwit_config_version 1.0" in metrics
@@ -563,13 +563,15 @@
             engine.event_s = 0.2
         url = fleet.url + "/chat/1"
         text = ""
-        async with http.stream("POST", url, headers=head(**PROMPT)) as answer:
+        async with http.stream(
+            "POST", url, headers=request_headers(**PROMPT)
+        ) as answer:
             async for piece in answer.aiter_text():
                 if not text:
                     tasks.start_soon(fleet.node.close)
-                    await fleet.until(lambda: fleet.node.app.stopping)
+                    await fleet.wait_until(lambda: fleet.node.app.stopping)
                     assert not fleet.node.app.ready
-                    late = await fleet.ask(http, "/peek/1")
+                    late = await fleet.request(http, "/peek/1")
                     assert late.status_code == 200
                     assert late.headers["connection"] == "close"
                 text += piece
@@ -599,7 +601,7 @@
     The one that the cheap ones replace is given back only once they serve.
     """
     await fleet.configure(2, services=SCALED)
-    await fleet.until(lambda: fleet.store.orders)
+    await fleet.wait_until(lambda: fleet.store.orders)
     [order] = fleet.store.orders
     assert order[2:] == ("lm", "z1", "spot", 2)
     assert order.holder == "front-1"
@@ -607,14 +609,14 @@
     for replica in (ReplicaStandin(fleet.store, f"s{n}", "lm") for n in (1, 2)):
         replica.server = fleet.engines[0].server
         replica.say("ready", spot=True)
-    await fleet.until(lambda: len(fleet.store.orders) == 2)
+    await fleet.wait_until(lambda: len(fleet.store.orders) == 2)
     assert fleet.store.orders[1][2:] == ("lm", "z1", "standard", 1)
 
 
 async def test_order_that_cannot_be_had_is_not_sent_each_round(fleet: Fleet) -> None:
     fleet.store.faults.dry = True
     await fleet.configure(2, services=SCALED)
-    await fleet.until(lambda: ORDER_SERVERS in fleet.store.calls)
+    await fleet.wait_until(lambda: ORDER_SERVERS in fleet.store.calls)
     await anyio.sleep(2 * ROUND_S)
     assert fleet.store.calls.count(ORDER_SERVERS) == 1
     assert fleet.store.orders == []
--- a/tests/test_standin_fleet.py
+++ b/tests/test_standin_fleet.py
@@ -10,7 +10,7 @@
 import msgspec
 import pytest
 
-from fleet import PROMPT, READY_WITHIN_S, config_of, head, settings_of
+from fleet import PROMPT, READY_WITHIN_S, config_of, request_headers, settings_of
 from godwitmast.platform.daemon import Node
 from godwitmast.platform.settings import PlatformFile
 from godwitmast.settings import check_settings
@@ -58,7 +58,7 @@
                 while not node.app.ready:
                     await anyio.sleep(0.01)
             url = node.callers.url
-            stream = await http.post(f"{url}/chat/1", headers=head(**PROMPT))
+            stream = await http.post(f"{url}/chat/1", headers=request_headers(**PROMPT))
             assert stream.text.count("data:") == 7
-            plain = await http.get(f"{url}/peek/1", headers=head("a2"))
+            plain = await http.get(f"{url}/peek/1", headers=request_headers("a2"))
             assert plain.text == "answer of app"
--- a/tests/test_time_agreement.py
+++ b/tests/test_time_agreement.py
@@ -112,13 +112,13 @@
     would later count as already reported. Windows must still follow one by one.
     """
     async with running(Fleet()) as fleet:
-        await fleet.until(lambda: fleet.store.reports)
+        await fleet.wait_until(lambda: fleet.store.reports)
         last = fleet.store.reports[-1].window
         true_time = time.time
         monkeypatch.setattr(time, "time", lambda: true_time() + 2_400.0)
-        await fleet.ask(http, "/peek/1")
+        await fleet.request(http, "/peek/1")
         reports = fleet.store.reports
-        await fleet.until(lambda: any(report.counts for report in reports))
+        await fleet.wait_until(lambda: any(report.counts for report in reports))
         windows = [report.window for report in reports]
         assert windows[-1] < last + 60
         assert windows == sorted(set(windows))
