--- a/src/godwitmast/admission/queue.py
+++ b/src/godwitmast/admission/controller.py
@@ -9,6 +9,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
+from godwitmast.admission.answer_lengths import AnswerLengths
 from godwitmast.admission.class_queue import ClassQueue, Job
 from godwitmast.admission.deadlines import (
     RESUMED_WAIT_S,
@@ -16,7 +17,6 @@
     find_start_deadline,
 )
 from godwitmast.admission.fairness import PROMPT_WEIGHT
-from godwitmast.admission.lengths import AnswerLengths
 from godwitmast.admission.limits import TeamLimits
 from godwitmast.admission.pool_queues import PoolQueues
 from godwitmast.admission.preemption import (
@@ -28,7 +28,11 @@
     urgent_at,
 )
 from godwitmast.admission.returns import MIN_RETRY_AFTER_S, next_retry_after
-from godwitmast.admission.service import ServiceCounter, ServiceKey, ServiceReport
+from godwitmast.admission.service_reports import (
+    ServiceCounter,
+    ServiceKey,
+    ServiceReport,
+)
 from godwitmast.admission.shedding import MAX_WAITING, choose_request_to_shed
 from godwitmast.admission.turns import choose_class
 from godwitmast.config.document import Document, Team
@@ -69,8 +73,8 @@
         self.pools: dict[str, PoolQueues] = {}
         self.limits = TeamLimits()
         self.lengths = AnswerLengths()
-        self.served = ServiceCounter()
-        self.waiting = 0
+        self.service_counter = ServiceCounter()
+        self.waiting_count = 0
 
     def update_config(self, document: Document) -> None:
         """Apply a new configuration; waiting requests keep position and deadline."""
@@ -105,7 +109,7 @@
         self.jobs[request.request_id] = job
         self.limits.record_admitted(request.team, team, now)
         key = ServiceKey(request.team, request.class_name, request.pool)
-        self.served.add(key, 1, 0.0)
+        self.service_counter.add(key, 1, 0.0)
         queue.add(job, team.weight, now)
         self.adjust_waiting(queue, 1)
         return self.shed(now)
@@ -138,13 +142,13 @@
 
     def shed(self, now: float) -> list[Refuse]:
         """Refuse one waiting request if the queues exceed `max_waiting`."""
-        if self.waiting <= self.max_waiting:
+        if self.waiting_count <= self.max_waiting:
             return []
         queues = (q for pool in self.pools.values() for q in pool.by_tier)
         queue, request_id = choose_request_to_shed(queues)
         return [self.refuse_waiting(self.jobs[request_id], now)]
 
-    def expire(self, now: float) -> list[Refuse]:
+    def refuse_expired(self, now: float) -> list[Refuse]:
         """Refuse waiting requests that are past their latest start."""
         refusals = []
         for pool in self.pools.values():
@@ -158,7 +162,7 @@
         """Remove a waiting request and return its refusal."""
         queue = self.queue_for(job.request)
         self.remove(job.request)
-        self.ended(job.request, now, whole=False)
+        self.record_end(job.request, now, completed=False)
         return self.make_refusal(job, queue, 0.0, now)
 
     def make_refusal(
@@ -178,7 +182,7 @@
         retry_after_s = next_retry_after(team, rate * share, late_s, now, self.random)
         return build_refusal(request, code, retry_after_s)
 
-    def next(self, pool_name: str, now: float) -> RequestSpec | None:
+    def pop_next(self, pool_name: str, now: float) -> RequestSpec | None:
         """Remove and return the request of a pool that starts next."""
         pool = self.pools.get(pool_name)
         if pool is None or not pool.waiting:
@@ -200,15 +204,15 @@
         pool_name: str,
         now: float,
         may_overcommit: bool = False,
-        excess_waits: bool = False,
+        engine_queues_excess: bool = False,
     ) -> Preemption | None:
         """Return a request that is about to miss its latest start, and its victim.
 
         The victim is queued again, ahead of the requests of its class that never ran.
         With `may_overcommit` the caller has a server that takes one request above its
         limit. A request that engines run first is then returned without a victim, if
-        places become free soon or if there is no victim. With `excess_waits` that
-        server has a fixed number of places, so that one more request does not slow
+        places become free soon or if there is no victim. With `engine_queues_excess`
+        that server has a fixed number of places, so that one more request does not slow
         those that run there; any request but those that engines run last may then go
         without a victim.
         """
@@ -229,9 +233,9 @@
             victim = find_victim(pool, queue)
             if victim is not None:
                 victim.preemptions += 1
-                self.put_back(victim.request, now)
+                self.requeue(victim.request, now)
                 return Preemption(victim.request, self.start(job, queue, now))
-            may_go_alone = is_first or (excess_waits and not is_last)
+            may_go_alone = is_first or (engine_queues_excess and not is_last)
             if may_overcommit and may_go_alone:
                 return Preemption(None, self.start(job, queue, now))
         return None
@@ -250,16 +254,16 @@
         queue.start_rate.add(now)
         return request
 
-    def unplaced(self, request: RequestSpec) -> None:
+    def undo_start(self, request: RequestSpec) -> None:
         """Count a request that no server accepted as not started.
 
-        The caller queues it again by `put_back`, as a request that did not run.
+        The caller queues it again by `requeue`, as a request that did not run.
         """
         job = self.jobs[request.request_id]
         job.starts -= 1
         self.mark_stopped(job, self.queue_for(request))
 
-    def put_back(self, request: RequestSpec, now: float) -> None:
+    def requeue(self, request: RequestSpec, now: float) -> None:
         """Queue a request again whose attempt was cancelled or failed.
 
         It goes ahead of the requests of its class that never ran. If it never ran
@@ -276,7 +280,7 @@
         queue.add_resumed(job, now)
         self.adjust_waiting(queue, 1)
 
-    def hold(self, request: RequestSpec) -> None:
+    def mark_awaiting_retry(self, request: RequestSpec) -> None:
         """Count a request as not running while its caller delays the retry.
 
         It must not be chosen as a victim meanwhile, because it occupies no place.
@@ -311,12 +315,12 @@
             self.charge(job, queue, excess_tokens, now)
             job.charged_tokens += excess_tokens
 
-    def ended(self, request: RequestSpec, now: float, whole: bool) -> None:
-        """Remove a request that is not waiting; `whole` if its answer was completed."""
+    def record_end(self, request: RequestSpec, now: float, completed: bool) -> None:
+        """Remove a request that is not waiting; `completed` if its answer was."""
         job = self.jobs.pop(request.request_id)
         queue = self.queue_for(request)
         self.limits.record_ended(request.team)
-        if whole:
+        if completed:
             self.update_estimates(job, queue, now)
         self.mark_stopped(job, queue)
         if job.is_charged:
@@ -344,24 +348,24 @@
         queue.preemptible.pop(job.request.request_id, None)
 
     def charge(self, job: Job, queue: ClassQueue, tokens: float, now: float) -> None:
-        """Charge tokens to the team's fair share and limit, and report them to peers."""
+        """Charge tokens to the team's fair share and limit; report them to peers."""
         request = job.request
         queue.fair_queue.charge(request.team, tokens)
         self.limits.charge_tokens(
             request.team, self.team_config(request.team), tokens, now
         )
         key = ServiceKey(request.team, request.class_name, request.pool)
-        self.served.add(key, 0, tokens)
+        self.service_counter.add(key, 0, tokens)
 
     def used_tokens(self, job: Job) -> float:
         """Return the tokens that a request has used so far, prompt included."""
         return job.tokens + PROMPT_WEIGHT * job.request.prompt_tokens
 
-    def take_service(self) -> list[ServiceReport]:
+    def pop_service_reports(self) -> list[ServiceReport]:
         """Return and reset what this entry served since the last call."""
-        return self.served.take()
+        return self.service_counter.pop_reports()
 
-    def peer_service(self, report: ServiceReport, now: float) -> None:
+    def apply_peer_service(self, report: ServiceReport, now: float) -> None:
         """Charge what another entry served to the team's fair share and limits."""
         key = report.key
         if key.class_name not in self.document.classes:
@@ -395,7 +399,7 @@
 
     def adjust_waiting(self, queue: ClassQueue, change: int) -> None:
         self.pools[queue.pool].waiting += change
-        self.waiting += change
+        self.waiting_count += change
 
 
 def find_engine_order_range(document: Document) -> EngineOrderRange:
--- a/src/godwitmast/admission/service.py
+++ b/src/godwitmast/admission/service_reports.py
@@ -38,7 +38,7 @@
         old_requests, old_tokens = self.served.get(key, (0, 0.0))
         self.served[key] = (old_requests + requests, old_tokens + tokens)
 
-    def take(self) -> list[ServiceReport]:
+    def pop_reports(self) -> list[ServiceReport]:
         """Return the counts as reports, and reset them."""
         reports = [
             ServiceReport(key, requests, tokens)
--- a/src/godwitmast/dispatch/router.py
+++ b/src/godwitmast/dispatch/router.py
@@ -7,7 +7,7 @@
 import random
 from collections.abc import Iterable
 
-from godwitmast.admission.queue import Admission
+from godwitmast.admission.controller import Admission
 from godwitmast.config.document import Document
 from godwitmast.dispatch.backends import BackendTable
 from godwitmast.dispatch.census import RouterCount
@@ -316,7 +316,7 @@
 
     def delay(self, active: ActiveRequest, until: float) -> None:
         """Keep a request that does not run out of the queue until a time."""
-        self.admission.hold(active.request)
+        self.admission.mark_awaiting_retry(active.request)
         self.retries.add(active.request.request_id, until)
 
     def move_streams_off(
@@ -349,7 +349,7 @@
         active.avoid.add(active.backend_id)
         active.may_have_run = True
         self.end_attempt(active, now)
-        self.admission.put_back(active.request, now)
+        self.admission.requeue(active.request, now)
         return cancel
 
     def withdraw(
@@ -405,7 +405,7 @@
         if now >= self.next_expiry_at:
             self.next_expiry_at = now + EXPIRE_EVERY_S
             self.guard.expire(now)
-        actions = self.end_refused(self.admission.expire(now))
+        actions = self.end_refused(self.admission.refuse_expired(now))
         for active in self.check_queue.pop_due(now):
             actions += self.check_attempt(active, now)
         for notice in self.removal_notices.values():
@@ -453,7 +453,7 @@
         if self.is_suspect(active) and not self.may_queue_suspect(active):
             self.retries.add(request_id, now + SUSPECT_RETRY_S)
             return []
-        self.admission.put_back(active.request, now)
+        self.admission.requeue(active.request, now)
         return []
 
     def end_refused(self, refusals: list[Refuse]) -> list[Action]:
@@ -471,7 +471,7 @@
         actions: list[Action] = []
         for pool in self.admission.waiting_pools():
             while self.backends.has_room(pool, now):
-                request = self.admission.next(pool, now)
+                request = self.admission.pop_next(pool, now)
                 if request is None:
                     break
                 actions += self.start_request(self.book.by_id[request.request_id], now)
@@ -487,9 +487,11 @@
         actions: list[Action] = []
         while True:
             server_id = self.pick_overcommit_server(pool, now)
-            excess_waits = server_id is not None and self.backends.has_places(server_id)
+            engine_queues_excess = server_id is not None and self.backends.has_places(
+                server_id
+            )
             preemption = self.admission.preempt(
-                pool, now, server_id is not None, excess_waits
+                pool, now, server_id is not None, engine_queues_excess
             )
             if preemption is None:
                 return actions
@@ -545,7 +547,7 @@
         if server_id is None or not self.may_start_on(active, server_id, now):
             backend_id = self.choose_server(active, now)
         if backend_id is None:
-            self.admission.unplaced(request)
+            self.admission.undo_start(request)
             self.delay(active, now + SUSPECT_RETRY_S)
             return []
         attempt_id = self.book.start_attempt(active, backend_id, now)
@@ -673,7 +675,7 @@
     ) -> None:
         self.book.remove(active)
         self.guard.cancel_reservation(active.request.fingerprint)
-        self.admission.ended(active.request, now, whole)
+        self.admission.record_end(active.request, now, whole)
 
 
 def warmup_limits(document: Document) -> dict[str, WarmupLimit]:
--- a/src/godwitmast/entry/spreading.py
+++ b/src/godwitmast/entry/spreading.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from godwitmast.admission.service import ServiceKey, ServiceReport
+from godwitmast.admission.service_reports import ServiceKey, ServiceReport
 from godwitmast.clock import Clock
 from godwitmast.config.document import Backend
 from godwitmast.dispatch.messages import (
@@ -178,7 +178,7 @@
         if not isinstance(router, Router) or now - self.published_at < period:
             return
         self.published_at = now
-        reports = router.admission.take_service()
+        reports = router.admission.pop_service_reports()
         for report in reports:
             requests, tokens = self.totals.get(report.key, (0, 0.0))
             total = (requests + report.requests, tokens + report.tokens)
@@ -217,7 +217,7 @@
                 )
                 requests = max(0, total[0] - before[0])
                 report = ServiceReport(key, requests, total[1] - before[1])
-                router.admission.peer_service(report, self.clock.now())
+                router.admission.apply_peer_service(report, self.clock.now())
         self.heard[record.key] = {**(known or {}), **record.value}
 
 
--- a/src/godwitmast/load/admission_cost.py
+++ b/src/godwitmast/load/admission_cost.py
@@ -4,7 +4,7 @@
 import time
 from typing import NamedTuple
 
-from godwitmast.admission.queue import Admission
+from godwitmast.admission.controller import Admission
 from godwitmast.config.parsing import parse_document
 from godwitmast.dispatch.messages import RequestSpec
 from godwitmast.types import ClassName, PoolName, RequestId, TeamName
@@ -65,12 +65,12 @@
         start = time.perf_counter()
         admission.offer(fresh, now)
         offered = time.perf_counter()
-        request = admission.next(POOL, now)
+        request = admission.pop_next(POOL, now)
         taken = time.perf_counter()
         assert request is not None
         admission.tokens_came(request, 100, now)
         ending = time.perf_counter()
-        admission.ended(request, now, whole=True)
+        admission.record_end(request, now, completed=True)
         times.append((offered - start, taken - offered, time.perf_counter() - ending))
     middle = [
         sorted(column)[len(times) // 2] * 1e6 for column in zip(*times, strict=True)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -2,10 +2,10 @@
 
 import pytest
 
+from godwitmast.admission.controller import Admission
 from godwitmast.admission.deadlines import RESUMED_WAIT_S
 from godwitmast.admission.limits import BURST_S
 from godwitmast.admission.preemption import MAX_PREEMPTIONS
-from godwitmast.admission.queue import Admission
 from godwitmast.admission.returns import MAX_RETRY_AFTER_S
 from godwitmast.config.document import Document, RequestClass, Team
 from godwitmast.config.parsing import parse_document
@@ -51,7 +51,7 @@
         return request.request_id
 
     def next(self) -> str | None:
-        request = self.admission.next(POOL, self.now)
+        request = self.admission.pop_next(POOL, self.now)
         return request.request_id if request else None
 
     def run(
@@ -59,17 +59,17 @@
     ) -> None:
         """Serve one request to its end, so that its times and length are known."""
         self.offer(class_name, team)
-        request = self.admission.next(POOL, self.now)
+        request = self.admission.pop_next(POOL, self.now)
         assert request is not None
         self.now += hold_s / 2
         self.admission.tokens_came(request, tokens, self.now)
         self.now += hold_s / 2
-        self.admission.ended(request, self.now, whole=True)
+        self.admission.record_end(request, self.now, completed=True)
 
     def begin(self, class_name: str, team: str = "arima") -> RequestSpec:
         """Start a request and deliver its first token."""
         self.offer(class_name, team)
-        request = self.admission.next(POOL, self.now)
+        request = self.admission.pop_next(POOL, self.now)
         assert request is not None
         self.admission.tokens_came(request, 1, self.now)
         return request
@@ -145,9 +145,9 @@
     there.admission.tokens_came(request, 5000, 0.0)
     here.offer("draft", "arima")
     couva = [here.offer("draft", "couva") for _ in range(2)]
-    for report in there.admission.take_service():
-        here.admission.peer_service(report, 0.0)
-    assert there.admission.take_service() == []
+    for report in there.admission.pop_service_reports():
+        here.admission.apply_peer_service(report, 0.0)
+    assert there.admission.pop_service_reports() == []
     assert [here.next(), here.next()] == couva
     (refusal,) = here.admission.offer(here.make("draft"), 0.0)
     assert refusal.code is RefusalCode.TEAM_LIMIT
@@ -173,7 +173,7 @@
     harness.offer("draft")
     (refusal,) = harness.admission.offer(harness.make("draft"), 0.0)
     assert refusal.code is RefusalCode.TEAM_LIMIT
-    harness.admission.ended(running, 0.0, whole=True)
+    harness.admission.record_end(running, 0.0, completed=True)
     harness.offer("draft")
 
 
@@ -208,8 +208,8 @@
     harness.run("question", hold_s=0.4)
     request_id = harness.offer("question")
     start = harness.now
-    assert harness.admission.expire(start + 0.9) == []
-    (refusal,) = harness.admission.expire(start + 1.1)
+    assert harness.admission.refuse_expired(start + 0.9) == []
+    (refusal,) = harness.admission.refuse_expired(start + 1.1)
     assert (refusal.request_id, refusal.code) == (request_id, RefusalCode.SHED)
     assert harness.next() is None
 
@@ -218,7 +218,7 @@
     harness: AdmissionHarness,
 ) -> None:
     harness.offer("draft", deadline=5.0)
-    (refusal,) = harness.admission.expire(6.0)
+    (refusal,) = harness.admission.refuse_expired(6.0)
     assert refusal.code is RefusalCode.DEADLINE
 
 
@@ -260,7 +260,7 @@
     harness.now += 1.0
     assert harness.admission.preempt(POOL, harness.now) is not None
     assert harness.next() == draft.request_id
-    assert harness.admission.expire(harness.now + RESUMED_WAIT_S - 1) != []
+    assert harness.admission.refuse_expired(harness.now + RESUMED_WAIT_S - 1) != []
 
 
 def test_number_of_preemptions_of_a_draft_is_bounded(harness: AdmissionHarness) -> None:
@@ -270,7 +270,7 @@
         harness.now += 1.0
         preemption = harness.admission.preempt(POOL, harness.now)
         assert preemption is not None
-        harness.admission.ended(preemption.request, harness.now, whole=False)
+        harness.admission.record_end(preemption.request, harness.now, completed=False)
         assert harness.next() == draft.request_id
         harness.admission.tokens_came(draft, 1, harness.now)
     harness.offer("question")
@@ -282,7 +282,7 @@
     harness: AdmissionHarness, more: dict[str, bool]
 ) -> None:
     harness.offer("draft", **more)
-    request = harness.admission.next(POOL, harness.now)
+    request = harness.admission.pop_next(POOL, harness.now)
     assert request is not None
     harness.admission.tokens_came(request, 1, harness.now)
     harness.offer("question")
@@ -358,11 +358,11 @@
     RESUMED_WAIT_S.
     """
     request_id = harness.offer("question")
-    request = harness.admission.next(POOL, 0.0)
+    request = harness.admission.pop_next(POOL, 0.0)
     assert request is not None
-    harness.admission.unplaced(request)
-    harness.admission.put_back(request, 0.1)
-    (refusal,) = harness.admission.expire(1.3)
+    harness.admission.undo_start(request)
+    harness.admission.requeue(request, 0.1)
+    (refusal,) = harness.admission.refuse_expired(1.3)
     assert refusal.request_id == request_id
 
 
--- a/tests/test_admission_model.py
+++ b/tests/test_admission_model.py
@@ -212,7 +212,7 @@
     assert all(len(ends) == 1 for ends in harness.outcomes.values())
     assert max(harness.preempted.values(), default=0) <= MAX_PREEMPTIONS
     admission = harness.router.admission
-    assert not admission.jobs and not admission.waiting
+    assert not admission.jobs and not admission.waiting_count
     assert all(
         use.open_requests == 0 for use in admission.limits.usage_by_team.values()
     )
--- a/tests/test_peers_entries.py
+++ b/tests/test_peers_entries.py
@@ -7,7 +7,7 @@
 import httpx
 import pytest
 
-from godwitmast.admission.service import ServiceKey
+from godwitmast.admission.service_reports import ServiceKey
 from godwitmast.config.document import Backend
 from godwitmast.dev.document import MODEL, dev_document, dev_key
 from godwitmast.dispatch.messages import LoadReport, Quarantine
@@ -91,7 +91,7 @@
             first.driver.router.guard.news.append(Quarantine("poison", 600.0))
             first.driver.leaving = lambda: {"backend-x"}
             key = ServiceKey("arima", "question", MODEL)
-            served = first.driver.router.admission.served
+            served = first.driver.router.admission.service_counter
             served.add(key, 1, 10.0)
             while "a-1" not in second.peering.service.heard:
                 await anyio.sleep(0.02)
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -8,7 +8,7 @@
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
 
-from godwitmast.admission.queue import Admission
+from godwitmast.admission.controller import Admission
 from godwitmast.config.document import Document
 from godwitmast.config.parsing import parse_document
 from godwitmast.dispatch.flights import ActiveRequest
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -7,7 +7,7 @@
 from msgspec import json
 
 from fleet import HOST, config_of, route
-from godwitmast.admission.queue import Admission
+from godwitmast.admission.controller import Admission
 from godwitmast.dispatch.messages import BackendSpec, Refuse, RequestSpec, Start
 from godwitmast.dispatch.router import Router
 from godwitmast.entry.front import Incoming, Prepared
@@ -141,7 +141,7 @@
         request = prepare(front, int(kind), team).spec
         assert admission.offer(request, 0.0) == []
         if name is not waiting:
-            assert admission.next(request.pool, 0.0) == request
+            assert admission.pop_next(request.pool, 0.0) == request
             admission.tokens_came(request, 1, 0.0)
     for tick in range(100):
         preemption = admission.preempt(request.pool, tick * 0.05)
@@ -224,7 +224,7 @@
     admission = Admission(front.document)
     running = prepare(front, DIGEST, "many").spec
     assert admission.offer(running, 0.0) == []
-    assert admission.next(running.pool, 0.0) == running
+    assert admission.pop_next(running.pool, 0.0) == running
     admission.tokens_came(running, 1, 0.0)
     waiting = prepare(front, DRAFT, "many").spec
     assert admission.offer(waiting, 0.0) == []
