--- a/src/godwitmast/capacity/demand.py
+++ b/src/godwitmast/capacity/demand.py
@@ -14,7 +14,7 @@
 whose rows hold a sum for each team: reading those of every entry in each round would
 transfer megabytes."""
 
-OPEN = "open"
+OPEN_REQUESTS_KEY = "open"
 """Key of an entry's load under which it reports how many requests run or wait there, by
 pool."""
 
@@ -49,13 +49,13 @@
     def __init__(self) -> None:
         self.sums: dict[DemandKey, DemandSum] = {}
 
-    def arrived(self, key: DemandKey, prompt_tokens: int) -> None:
+    def record_request(self, key: DemandKey, prompt_tokens: int) -> None:
         old = self.sums.get(key, DemandSum())
         self.sums[key] = old._replace(
             requests=old.requests + 1, prompt_tokens=old.prompt_tokens + prompt_tokens
         )
 
-    def answered(self, key: DemandKey, tokens: int) -> None:
+    def record_answer(self, key: DemandKey, tokens: int) -> None:
         old = self.sums.get(key, DemandSum())
         self.sums[key] = old._replace(
             answers=old.answers + 1, answer_tokens=old.answer_tokens + tokens
@@ -77,31 +77,31 @@
     version: int
     incarnation: str
     cells: dict[tuple[str, str], list[int]]
-    seen_at: float
+    updated_at: float
 
 
 @dataclass
-class DemandBook:
+class DemandAggregator:
     """Sums the demand rows of all entries and converts them to server time."""
 
     nodes: dict[str, NodeDemand] = field(default_factory=dict)
-    seen_at: float | None = None
+    updated_at: float | None = None
     interval_s: float = 0.0
     increments: dict[DemandKey, DemandSum] = field(default_factory=dict)
     totals: dict[DemandKey, DemandSum] = field(default_factory=dict)
     last_change_at: float = -math.inf
 
-    def take(self, rows: dict[str, tuple[int, Json]], now: float) -> None:
+    def apply_rows(self, rows: dict[str, tuple[int, Json]], now: float) -> None:
         """Read the demand rows of all entries, each as its version and value."""
         increments: dict[DemandKey, DemandSum] = {}
         for key, (version, value) in rows.items():
             self.apply_row(key, version, value, now, increments)
         for key in [
-            k for k, n in self.nodes.items() if now - n.seen_at > NODE_EXPIRY_S
+            k for k, n in self.nodes.items() if now - n.updated_at > NODE_EXPIRY_S
         ]:
             del self.nodes[key]
-        self.interval_s = now - self.seen_at if self.seen_at is not None else 0.0
-        self.seen_at = now
+        self.interval_s = now - self.updated_at if self.updated_at is not None else 0.0
+        self.updated_at = now
         self.increments = increments
         for demand_key, sums in increments.items():
             old = self.totals.get(demand_key, DemandSum())
--- a/src/godwitmast/capacity/duty.py
+++ b/src/godwitmast/capacity/duty.py
@@ -7,9 +7,9 @@
 from prometheus_client import CollectorRegistry, Counter, Gauge
 
 from godwitmast.backends.client import BackendClient
-from godwitmast.capacity.demand import DEMAND_KEY_PREFIX, DemandBook
+from godwitmast.capacity.demand import DEMAND_KEY_PREFIX, DemandAggregator
 from godwitmast.capacity.fleet import (
-    EMPTY,
+    EMPTY_FLEET,
     SERVERS_KEY,
     FleetRow,
     dump_fleet,
@@ -20,9 +20,9 @@
     Drain,
     Order,
     OrderOutcome,
+    PlanInput,
     Release,
     Undrain,
-    View,
 )
 from godwitmast.capacity.orders import OrderBook
 from godwitmast.capacity.planner import Planner
@@ -97,12 +97,12 @@
     def __post_init__(self) -> None:
         self.metrics = CapacityMetrics(self.registry)
         self.book = OrderBook()
-        self.demand = DemandBook()
+        self.demand = DemandAggregator()
         self.metrics_updated_at: float | None = None
 
     async def run(self, guard: Guard) -> None:
         """Run a planning round at each interval, until cancelled."""
-        self.demand = DemandBook()
+        self.demand = DemandAggregator()
         self.planners = {}
         self.metrics_updated_at = None
         self.metrics.held.set(1)
@@ -129,7 +129,7 @@
             return False
         row = rows.get(SERVERS_KEY)
         self.book = OrderBook()
-        self.book.resume(intents, load_fleet(row.value) if row else EMPTY)
+        self.book.resume(intents, load_fleet(row.value) if row else EMPTY_FLEET)
         return True
 
     async def run_round(self, guard: Guard) -> None:
@@ -147,7 +147,7 @@
             return
         self.update_metrics(fleet)
         now = self.clock.now()
-        self.demand.take({k: (r.version, r.value) for k, r in rows.items()}, now)
+        self.demand.apply_rows({k: (r.version, r.value) for k, r in rows.items()}, now)
         if not await self.publish(guard, self.book.make_row(fleet)):
             return
         await self.update_running_requests()
@@ -184,9 +184,9 @@
         intention: CapacityPolicy,
         fleet: list[FleetServer],
         now: float,
-    ) -> View:
+    ) -> PlanInput:
         wall = self.clock.wall()
-        return View(
+        return PlanInput(
             now,
             self.demand.demand(pool, document, intention),
             self.book.list_servers(pool, fleet, document.backends, wall),
@@ -228,7 +228,7 @@
         self.book.add_pending(intent)
         outcome = await self.send(guard, intent)
         if outcome is OrderOutcome.UNAVAILABLE and isinstance(decision, Order):
-            planner.cheap_refused(decision.zone, self.clock.now())
+            planner.record_cheap_refusal(decision.zone, self.clock.now())
         return outcome is not OrderOutcome.STALE
 
     async def resend_pending(self, guard: Guard) -> None:
--- a/src/godwitmast/capacity/fleet.py
+++ b/src/godwitmast/capacity/fleet.py
@@ -37,7 +37,7 @@
     servers: dict[str, PublishedServer]
 
 
-EMPTY = FleetRow(0, {})
+EMPTY_FLEET = FleetRow(0, {})
 
 
 def dump_fleet(row: FleetRow) -> dict[str, Json]:
--- a/src/godwitmast/capacity/follower.py
+++ b/src/godwitmast/capacity/follower.py
@@ -8,7 +8,7 @@
 
 from godwitmast.background import BackgroundTasks
 from godwitmast.capacity.demand import DEMAND_KEY_PREFIX, DemandKey, DemandMeter
-from godwitmast.capacity.fleet import EMPTY, SERVERS_KEY, FleetRow, load_fleet
+from godwitmast.capacity.fleet import EMPTY_FLEET, SERVERS_KEY, FleetRow, load_fleet
 from godwitmast.errors import PlatformError
 from godwitmast.logs import log_event
 from godwitmast.platform_api.client import PlatformClient
@@ -37,7 +37,7 @@
         self.waiting = waiting
         self.on_fleet_change = on_fleet_change
         self.incarnation = secrets.token_hex(4)
-        self.current = EMPTY
+        self.current = EMPTY_FLEET
         self.newer_published = anyio.Event()
         self.background = BackgroundTasks(self.run)
 
@@ -48,7 +48,7 @@
         """Stop reading, so that the platform client can be closed."""
         await self.background.close()
 
-    def head_seen(self, head: Json) -> None:
+    def check_head(self, head: Json) -> None:
         """Wake the reader if the published number is higher than the one in force.
 
         A read that fails is repeated when the number is polled again.
--- a/src/godwitmast/capacity/messages.py
+++ b/src/godwitmast/capacity/messages.py
@@ -53,7 +53,7 @@
     backlog: float = 0.0
 
 
-class View(NamedTuple):
+class PlanInput(NamedTuple):
     """Input of a plan for one pool.
 
     `age_s` is the time since the demand row of any entry last changed. `wall` is the
--- a/src/godwitmast/capacity/planner.py
+++ b/src/godwitmast/capacity/planner.py
@@ -13,12 +13,12 @@
     Decision,
     Drain,
     Order,
+    PlanInput,
     Release,
     ServerKind,
     ServerState,
     ServerView,
     Undrain,
-    View,
 )
 from godwitmast.capacity.sizing import (
     Mix,
@@ -60,7 +60,7 @@
 at fault than the servers, and replacing all of them would double the spend for
 nothing."""
 
-COUNTED = (ServerState.ORDERED, ServerState.STARTING, ServerState.SERVING)
+CAPACITY_STATES = (ServerState.ORDERED, ServerState.STARTING, ServerState.SERVING)
 
 
 class Planner:
@@ -86,11 +86,11 @@
         self.intention = intention
         self.forecast.lead_s = intention.start_s
 
-    def cheap_refused(self, zone: ZoneName, now: float) -> None:
+    def record_cheap_refusal(self, zone: ZoneName, now: float) -> None:
         """Record that a zone had no cheap server; other zones are then asked first."""
         self.refused_until[zone] = now + REFUSAL_BACKOFF_S
 
-    def step(self, view: View) -> list[Decision]:
+    def step(self, view: PlanInput) -> list[Decision]:
         """Return the decisions of this round."""
         if view.age_s > MAX_REPORT_AGE_S:
             return []
@@ -119,7 +119,7 @@
         mix = split_by_kind(total, high_work, len(self.zones), self.intention)
         return cut_to_budget(mix, self.intention)
 
-    def forecast_total(self, view: View) -> int:
+    def forecast_total(self, view: PlanInput) -> int:
         """Update the forecast, and return how many servers it requires."""
         for demand in view.demand:
             self.forecast.observe(demand.class_name, demand.work, view.now, view.wall)
@@ -127,7 +127,7 @@
         backlog = sum(d.backlog for d in view.demand)
         return servers_needed(work, backlog, self.intention)
 
-    def forecast_high_tiers(self, view: View) -> float:
+    def forecast_high_tiers(self, view: PlanInput) -> float:
         """Return the forecast work of the tiers that a zone loss must not affect."""
         tiers = sorted({d.tier for d in view.demand})[: self.intention.high_tiers]
         return sum(
@@ -136,12 +136,12 @@
             if d.tier in tiers
         )
 
-    def reports_are_implausible(self, view: View) -> bool:
+    def reports_are_implausible(self, view: PlanInput) -> bool:
         """Return whether too many servers are silent for the reports to be right."""
         silent = sum(s.state is ServerState.SILENT for s in view.servers)
         return silent > max(1, MAX_SILENT_SHARE * len(view.servers))
 
-    def plan_orders(self, view: View) -> list[Decision]:
+    def plan_orders(self, view: PlanInput) -> list[Decision]:
         """Undrain or order missing servers, within the limit on starting servers."""
         by_zone_and_kind = count_by_zone_and_kind(view.servers)
         by_kind = count_by_kind(view.servers)
@@ -231,7 +231,7 @@
         below_minimum = by_kind["on_demand"] < intention.min_on_demand
         return below_minimum or spend <= intention.budget_per_hour
 
-    def plan_drain(self, view: View) -> list[Decision]:
+    def plan_drain(self, view: PlanInput) -> list[Decision]:
         """Drain one server if no plan within SHRINK_DELAY_S needed it."""
         now = view.now
         if self.started_at is None:
@@ -256,7 +256,7 @@
         self.last_drain_at = now
         return [Drain(server.backend_id, "surplus")]
 
-    def plan_releases(self, view: View) -> list[Decision]:
+    def plan_releases(self, view: PlanInput) -> list[Decision]:
         """Release drained servers that run no request."""
         return [
             Release(s.backend_id)
@@ -267,12 +267,12 @@
 
 def count_by_kind(servers: list[ServerView]) -> Counter[str]:
     """Count the servers of each kind that serve or are about to."""
-    return Counter(s.kind for s in servers if s.state in COUNTED)
+    return Counter(s.kind for s in servers if s.state in CAPACITY_STATES)
 
 
 def count_by_zone_and_kind(servers: list[ServerView]) -> Counter[tuple[str, str]]:
     """Count the servers that serve or are about to, by zone and kind."""
-    return Counter((s.zone, s.kind) for s in servers if s.state in COUNTED)
+    return Counter((s.zone, s.kind) for s in servers if s.state in CAPACITY_STATES)
 
 
 def choose_server_to_drain(
--- a/src/godwitmast/capacity/sizing.py
+++ b/src/godwitmast/capacity/sizing.py
@@ -9,7 +9,7 @@
 from godwitmast.config.document import CapacityPolicy
 from godwitmast.types import ZoneName
 
-USE = 0.70
+PLANNED_UTILISATION = 0.70
 """Share of a server's full batch that a plan uses. At a full batch the time between
 tokens is at its target without headroom, and a second's noise makes requests queue."""
 
@@ -35,7 +35,7 @@
 
 def servers_needed(work: float, backlog: float, intention: CapacityPolicy) -> int:
     """Return how many servers the work needs, within the intention's bounds."""
-    needed = math.ceil((work + backlog / BACKLOG_CLEAR_S) / USE - 1e-9)
+    needed = math.ceil((work + backlog / BACKLOG_CLEAR_S) / PLANNED_UTILISATION - 1e-9)
     return min(max(needed, intention.min_servers), intention.max_servers)
 
 
--- a/src/godwitmast/capacity/zonal.py
+++ b/src/godwitmast/capacity/zonal.py
@@ -76,14 +76,14 @@
 class ZonalLimits(NamedTuple):
     """Limits on the servers of a pool, from the operators' configuration.
 
-    `least` and `most` are the numbers per zone, of both kinds together; `start_s` is
-    the time from an order to a serving server. `cheap_price` is the price of a cheap
-    server relative to an on-demand one, and `zone_prices` are the relative prices of
-    the zones.
+    `min_per_zone` and `max_per_zone` count both kinds together; `start_s` is the time
+    from an order to a serving server. `cheap_price` is the price of a cheap server
+    relative to an on-demand one, and `zone_prices` are the relative prices of the
+    zones.
     """
 
-    least: int
-    most: int
+    min_per_zone: int
+    max_per_zone: int
     start_s: float
     cheap_price: float
     zone_prices: dict[ZoneName, float]
@@ -97,7 +97,7 @@
     leaving: bool
 
 
-class Wanted(NamedTuple):
+class DesiredServers(NamedTuple):
     """The desired number of servers of a kind in a zone."""
 
     zone: ZoneName
@@ -135,7 +135,7 @@
         open_requests: float | None,
         now: float,
         evacuated_zones: Collection[ZoneName] = (),
-    ) -> list[Wanted]:
+    ) -> list[DesiredServers]:
         """Return the numbers to send now; `open_requests` may be unknown (None).
 
         Servers of evacuated zones get no requests, but are neither ordered nor removed:
@@ -187,7 +187,10 @@
         """Round up to whole servers, within the limits of all zones."""
         zones = len(self.zones)
         wanted = math.ceil(servers)
-        return min(max(wanted, self.limits.least * zones), self.limits.most * zones)
+        return min(
+            max(wanted, self.limits.min_per_zone * zones),
+            self.limits.max_per_zone * zones,
+        )
 
     def plan_zones(
         self, evacuated_zones: Collection[ZoneName] = ()
@@ -217,14 +220,14 @@
         cheap: int,
         counts: ServerCounts,
         is_new: bool,
-    ) -> list[Wanted]:
+    ) -> list[DesiredServers]:
         """Return the next numbers for one zone on the way to its plan.
 
         An on-demand server is removed only once the cheap ones that replace it are
         listed, so that a zone without cheap servers keeps those it has.
         """
         on_demand_now, cheap_now = counts[zone, "on_demand"], counts[zone, "cheap"]
-        room = max(0, self.limits.most - max(on_demand_now, on_demand))
+        room = max(0, self.limits.max_per_zone - max(on_demand_now, on_demand))
         if is_new:
             # A new holder does not know which burst these servers were ordered for.
             cheap = max(cheap, cheap_now)
@@ -232,11 +235,11 @@
         if cheap_now < cheap_target:
             on_demand = max(on_demand, on_demand_now)
         return [
-            Wanted(zone, "cheap", cheap_target),
-            Wanted(zone, "on_demand", on_demand),
+            DesiredServers(zone, "cheap", cheap_target),
+            DesiredServers(zone, "on_demand", on_demand),
         ]
 
-    def is_due(self, item: Wanted, counts: ServerCounts, now: float) -> bool:
+    def is_due(self, item: DesiredServers, counts: ServerCounts, now: float) -> bool:
         """Return whether a number has to be sent, or sent again."""
         if now < self.retry_at.get((item.zone, item.kind), 0.0):
             return False
@@ -247,7 +250,9 @@
             return False
         return now - last.at > LOST_ORDER_STARTS * self.limits.start_s + LIST_LAG_S
 
-    def record_outcome(self, item: Wanted, outcome: OrderOutcome, now: float) -> None:
+    def record_outcome(
+        self, item: DesiredServers, outcome: OrderOutcome, now: float
+    ) -> None:
         """Record the outcome of sending a number."""
         key = (item.zone, item.kind)
         match outcome:
--- a/src/godwitmast/capacity/zonal_duty.py
+++ b/src/godwitmast/capacity/zonal_duty.py
@@ -7,9 +7,14 @@
 import anyio
 from prometheus_client import CollectorRegistry, Counter
 
-from godwitmast.capacity.demand import OPEN
+from godwitmast.capacity.demand import OPEN_REQUESTS_KEY
 from godwitmast.capacity.messages import OrderOutcome
-from godwitmast.capacity.zonal import ListedServer, Wanted, ZonalLimits, ZonalPlanner
+from godwitmast.capacity.zonal import (
+    DesiredServers,
+    ListedServer,
+    ZonalLimits,
+    ZonalPlanner,
+)
 from godwitmast.clock import Clock
 from godwitmast.config.document import Backend
 from godwitmast.errors import PlatformError, PlatformOutcomeUnknown
@@ -25,14 +30,16 @@
     """Interface for ordering a number of servers of a kind in a zone."""
 
     async def order_servers(
-        self, pool: PoolName, wanted: Wanted, fence: int
+        self, pool: PoolName, wanted: DesiredServers, fence: int
     ) -> OrderOutcome:
         """Order a number of servers; raise PlatformError on failure or uncertainty."""
 
 
-def open_requests(loads: Iterable[Mapping[str, Any]], pool: PoolName) -> float | None:
+def sum_open_requests(
+    loads: Iterable[Mapping[str, Any]], pool: PoolName
+) -> float | None:
     """Return a pool's open requests over all entries; None if no entry reported any."""
-    reports = [load[OPEN] for load in loads if OPEN in load]
+    reports = [load[OPEN_REQUESTS_KEY] for load in loads if OPEN_REQUESTS_KEY in load]
     return sum(row.get(pool, 0) for row in reports) if reports else None
 
 
@@ -90,7 +97,9 @@
                 return
             planner.record_outcome(wanted, outcome, self.clock.now())
 
-    async def send(self, pool: PoolName, wanted: Wanted, guard: Guard) -> OrderOutcome:
+    async def send(
+        self, pool: PoolName, wanted: DesiredServers, guard: Guard
+    ) -> OrderOutcome:
         """Send a number if the lease is held, and return the outcome."""
         fence = guard.fence_if_held(self.clock.now(), self.clock.wall())
         if fence is None:
--- a/src/godwitmast/entry/app.py
+++ b/src/godwitmast/entry/app.py
@@ -215,7 +215,7 @@
         """Run an exchange, then meter it and record its outcome."""
         spec = exchange.spec
         self.exchanges[spec.request_id] = exchange
-        self.demand.arrived(demand_key(spec), spec.prompt_tokens)
+        self.demand.record_request(demand_key(spec), spec.prompt_tokens)
         self.metrics.open_requests.inc()
         try:
             await exchange.run()
@@ -270,7 +270,7 @@
             return
         if exchange.replayed:
             return
-        self.demand.answered(demand_key(spec), exchange.billed_tokens.output)
+        self.demand.record_answer(demand_key(spec), exchange.billed_tokens.output)
         target = self.document.classes.get(spec.class_name)
         if target:
             self.metrics.answered(spec.team, spec.class_name, target, exchange.timing)
--- a/src/godwitmast/entry/daemon.py
+++ b/src/godwitmast/entry/daemon.py
@@ -71,7 +71,7 @@
             self.app.count_waiting,
             self.driver.fleet_changed,
         )
-        self.follower.watch_row(FLEET_HEAD_KEY, self.fleet.head_seen)
+        self.follower.watch_row(FLEET_HEAD_KEY, self.fleet.check_head)
         self.server = HttpServer(
             self.app, settings.listen, settings.tls, settings.stop_timeout_s
         )
--- a/src/godwitmast/entry/driver.py
+++ b/src/godwitmast/entry/driver.py
@@ -17,8 +17,8 @@
 
 from godwitmast.backends.client import BackendClient
 from godwitmast.background import BackgroundTasks
-from godwitmast.capacity.demand import OPEN
-from godwitmast.capacity.fleet import EMPTY, FleetRow, merge_backends
+from godwitmast.capacity.demand import OPEN_REQUESTS_KEY
+from godwitmast.capacity.fleet import EMPTY_FLEET, FleetRow, merge_backends
 from godwitmast.clock import Clock
 from godwitmast.config.document import Backend, Document, NumberedConfig
 from godwitmast.dispatch.census import RouterCount
@@ -71,7 +71,7 @@
         self.router: Router | None = None
         self.document: Document | None = None
         self.backends: dict[str, Backend] = {}
-        self.fleet = EMPTY
+        self.fleet = EMPTY_FLEET
         self.urls: dict[BackendId, str] = {}
         self.mailboxes: dict[RequestId, MemoryObjectSendStream[Action]] = {}
         self.request_submitted = anyio.Event()
@@ -175,7 +175,7 @@
 
     def load_row(self) -> dict[str, Any]:
         """Return the load that this VM publishes: open requests by pool."""
-        return {OPEN: dict(Counter(self.pool_of_request.values()))}
+        return {OPEN_REQUESTS_KEY: dict(Counter(self.pool_of_request.values()))}
 
     def leaving(self) -> set[str]:
         """Return the backend servers that configuration or fleet mark as leaving."""
--- a/src/godwitmast/load/fleet_model.py
+++ b/src/godwitmast/load/fleet_model.py
@@ -18,12 +18,12 @@
     Decision,
     Drain,
     Order,
+    PlanInput,
     Release,
     ServerKind,
     ServerState,
     ServerView,
     Undrain,
-    View,
 )
 from godwitmast.config.document import CapacityPolicy
 from godwitmast.load.mixes import ClassMix, Mix
@@ -51,9 +51,9 @@
 class Scaler(Protocol):
     """What decides about the fleet in the model."""
 
-    def step(self, view: View) -> list[Decision]: ...
+    def step(self, view: PlanInput) -> list[Decision]: ...
 
-    def cheap_refused(self, zone: ZoneName, now: float) -> None: ...
+    def record_cheap_refusal(self, zone: ZoneName, now: float) -> None: ...
 
 
 @dataclass(slots=True)
@@ -316,7 +316,7 @@
             self.spend += rate / 3600
         self.seconds += len(self.servers)
 
-    def view(self, now: int) -> View:
+    def view(self, now: int) -> PlanInput:
         """Return what the entries' and the platform's reports say by now."""
         seen = list(self.arrived_work)[:REPORT_LAG_S]
         demand = [
@@ -332,13 +332,13 @@
             ServerView(s.backend_id, s.zone, s.kind, state_of(s, now), running(s, now))
             for s in self.servers
         ]
-        return View(float(now), demand, servers, REPORT_LAG_S, float(now))
+        return PlanInput(float(now), demand, servers, REPORT_LAG_S, float(now))
 
     def carry_out(self, decision: Decision, now: int, scaler: Scaler) -> None:
         match decision:
             case Order():
                 if decision.kind == "cheap" and self.away.get(decision.zone, 0) > now:
-                    scaler.cheap_refused(decision.zone, float(now))
+                    scaler.record_cheap_refusal(decision.zone, float(now))
                     return
                 self.ordered += 1
                 self.add_server(
--- a/src/godwitmast/load/scalers.py
+++ b/src/godwitmast/load/scalers.py
@@ -7,11 +7,11 @@
     Decision,
     Drain,
     Order,
+    PlanInput,
     Release,
     ServerState,
-    View,
 )
-from godwitmast.capacity.planner import COUNTED
+from godwitmast.capacity.planner import CAPACITY_STATES
 from godwitmast.config.document import CapacityPolicy
 from godwitmast.types import PoolName, ZoneName
 
@@ -23,10 +23,10 @@
 class FixedFleet:
     """Servers on demand, as many as the peak needs, for ever."""
 
-    def step(self, view: View) -> list[Decision]:
+    def step(self, view: PlanInput) -> list[Decision]:
         return []
 
-    def cheap_refused(self, zone: ZoneName, now: float) -> None:
+    def record_cheap_refusal(self, zone: ZoneName, now: float) -> None:
         """A fixed fleet orders nothing, so nothing is refused it."""
 
 
@@ -44,9 +44,9 @@
     target: float = 0.6
     wishes: list[tuple[float, int]] = field(default_factory=list)
 
-    def step(self, view: View) -> list[Decision]:
+    def step(self, view: PlanInput) -> list[Decision]:
         serving = sum(s.state is ServerState.SERVING for s in view.servers)
-        have = [s for s in view.servers if s.state in COUNTED]
+        have = [s for s in view.servers if s.state in CAPACITY_STATES]
         work = sum(d.work for d in view.demand)
         seen = min(1.0, work / max(1, serving))
         ratio = seen / self.target
@@ -68,5 +68,5 @@
                 decisions.append(Drain(server.backend_id, "utilisation"))
         return decisions
 
-    def cheap_refused(self, zone: ZoneName, now: float) -> None:
+    def record_cheap_refusal(self, zone: ZoneName, now: float) -> None:
         """It never asks for a cheap server."""
--- a/src/godwitmast/load/slopes.py
+++ b/src/godwitmast/load/slopes.py
@@ -16,7 +16,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from godwitmast.capacity.demand import DemandBook, DemandKey, DemandMeter
+from godwitmast.capacity.demand import DemandAggregator, DemandKey, DemandMeter
 from godwitmast.capacity.fleet import (
     SERVERS_KEY,
     FleetRow,
@@ -24,7 +24,7 @@
     dump_fleet,
     load_fleet,
 )
-from godwitmast.capacity.messages import ClassDemand, ServerState, ServerView, View
+from godwitmast.capacity.messages import ClassDemand, PlanInput, ServerState, ServerView
 from godwitmast.capacity.planner import Planner
 from godwitmast.config.document import CapacityPolicy, RequestClass
 from godwitmast.config.parsing import parse_document
@@ -304,8 +304,8 @@
     for pool in range(pools):
         for number in range(CLASSES):
             key = DemandKey(f"model-{pool}", f"class-{number}")
-            meter.arrived(key, 123_456)
-            meter.answered(key, 12_345)
+            meter.record_request(key, 123_456)
+            meter.record_answer(key, 12_345)
     return meter
 
 
@@ -330,22 +330,22 @@
     """Measure adding up the rows of all entries, as the orders' holder does."""
     points = []
     for nodes in (9, 100, 200, 350):
-        meter, book = make_demand(POOLS), DemandBook()
+        meter, book = make_demand(POOLS), DemandAggregator()
         first = meter.dump("0a1b2c3d", {})
         keys = sorted(meter.sums)
         for key in keys[: int(CHANGED * len(keys))]:
-            meter.arrived(key, 300)
+            meter.record_request(key, 300)
         pair = [first, meter.dump("0a1b2c3d", {})]
         points.append((nodes, best_cpu_ms(partial(take_twice, book, nodes, pair)) / 2))
     return Slope("add up the demand rows", "entry", "ms", points)
 
 
-def take_twice(book: DemandBook, nodes: int, pair: list[Any]) -> None:
+def take_twice(book: DemandAggregator, nodes: int, pair: list[Any]) -> None:
     """Take two rounds of rows, each new to the book."""
     for value in pair:
-        now = (book.seen_at or 0.0) + 5.0
+        now = (book.updated_at or 0.0) + 5.0
         rows = {f"demand/{n}": (int(now), value) for n in range(nodes)}
-        book.take(rows, now)
+        book.apply_rows(rows, now)
 
 
 def plan_step() -> Slope:
@@ -362,15 +362,15 @@
     return Slope("plan a round for 28 models", "server", "ms", points)
 
 
-def plan(planners: list[Planner], views: list[View]) -> None:
+def plan(planners: list[Planner], views: list[PlanInput]) -> None:
     for planner, view in zip(planners, views, strict=True):
         planner.step(view)
 
 
-def make_view(servers: int, zones: list[ZoneName]) -> View:
+def make_view(servers: int, zones: list[ZoneName]) -> PlanInput:
     demand = [ClassDemand(ClassName(f"c{n}"), n + 1, servers / 12) for n in range(7)]
     views = [
         ServerView(BackendId(f"s{n}"), zones[n % 7], "cheap", ServerState.SERVING)
         for n in range(servers)
     ]
-    return View(0.0, demand, views)
+    return PlanInput(0.0, demand, views)
--- a/src/godwitmast/load/spend.py
+++ b/src/godwitmast/load/spend.py
@@ -12,7 +12,7 @@
 
 from godwitmast.capacity.messages import ServerKind
 from godwitmast.capacity.planner import Planner
-from godwitmast.capacity.sizing import USE
+from godwitmast.capacity.sizing import PLANNED_UTILISATION
 from godwitmast.config.document import CapacityPolicy
 from godwitmast.daemons import EXIT_FAILED
 from godwitmast.load.fleet_model import FleetModel, FleetResult, Scaler
@@ -66,7 +66,7 @@
         )
         for c in mix.classes
     )
-    return math.ceil(peak_rate(mix)[1] * unit / USE)
+    return math.ceil(peak_rate(mix)[1] * unit / PLANNED_UTILISATION)
 
 
 def peak_rate(mix: Mix) -> tuple[int, float]:
--- a/src/godwitmast/platform/daemon.py
+++ b/src/godwitmast/platform/daemon.py
@@ -14,7 +14,7 @@
 
 from godwitmast.backends.client import BackendClient
 from godwitmast.capacity.zonal import ZonalLimits
-from godwitmast.capacity.zonal_duty import ZonalDuty, open_requests
+from godwitmast.capacity.zonal_duty import ZonalDuty, sum_open_requests
 from godwitmast.clock import SystemClock
 from godwitmast.dispatch.retries import DividedBudgets
 from godwitmast.entry.app import EntryApp, closing
@@ -228,7 +228,7 @@
             self.clock,
             self.orderable,
             lambda: self.driver.listed,
-            lambda pool: open_requests(duty.loads(), pool),
+            lambda pool: sum_open_requests(duty.loads(), pool),
             self.app.metrics.registry,
             REPORT_TIMEOUT_S,
             lambda: self.driver.closed_zones,
--- a/src/godwitmast/platform/store.py
+++ b/src/godwitmast/platform/store.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from godwitmast.capacity.messages import OrderOutcome
-from godwitmast.capacity.zonal import Wanted
+from godwitmast.capacity.zonal import DesiredServers
 from godwitmast.errors import PlatformOutcomeUnknown
 from godwitmast.platform.settings import PlatformFile
 from godwitmast.platform.wire import (
@@ -262,7 +262,7 @@
         await self.send("POST", REPORT_USAGE, json=body, headers=headers)
 
     async def order_servers(
-        self, pool: PoolName, wanted: Wanted, fence: int
+        self, pool: PoolName, wanted: DesiredServers, fence: int
     ) -> OrderOutcome:
         """Order a number of servers; the platform has none of the kind at a 409."""
         body: Json = {"service": pool, "zone": wanted.zone, "desired": wanted.number}
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -11,11 +11,11 @@
     Decision,
     Drain,
     Order,
+    PlanInput,
     Release,
     ServerState,
     ServerView,
     Undrain,
-    View,
 )
 from godwitmast.capacity.planner import (
     DRAIN_INTERVAL_S,
@@ -66,7 +66,7 @@
     return [d for d in decisions if isinstance(d, Order)]
 
 
-def run_steadily(planner: Planner, view: View, seconds: float) -> list[Decision]:
+def run_steadily(planner: Planner, view: PlanInput, seconds: float) -> list[Decision]:
     """Repeat the same view for some time; return all decisions."""
     decided: list[Decision] = []
     for step in range(int(seconds / 10)):
@@ -75,23 +75,25 @@
 
 
 def test_more_work_orders_servers_in_every_zone_most_of_them_cheap() -> None:
-    decided = orders(make_planner().step(View(0.0, demand(2.0, 2.0), [])))
+    decided = orders(make_planner().step(PlanInput(0.0, demand(2.0, 2.0), [])))
     assert Counter(o.kind for o in decided)["cheap"] >= len(decided) / 2
     assert len({o.zone for o in decided}) >= 2
 
 
 def test_number_of_servers_starting_at_once_is_limited() -> None:
-    decided = orders(make_planner().step(View(0.0, demand(6.0, 6.0), [])))
+    decided = orders(make_planner().step(PlanInput(0.0, demand(6.0, 6.0), [])))
     assert len(decided) == math.ceil(0.34 * 18)
     waiting = [
         server(n, o.zone, o.kind, ServerState.ORDERED) for n, o in enumerate(decided)
     ]
-    assert not orders(make_planner().step(View(0.0, demand(6.0, 6.0), waiting)))
+    assert not orders(make_planner().step(PlanInput(0.0, demand(6.0, 6.0), waiting)))
 
 
 def test_a_backlog_orders_servers_without_a_rise_in_arrivals() -> None:
-    without_backlog = make_planner().step(View(0.0, demand(1.0), fleet(1, 1)))
-    with_backlog = make_planner().step(View(0.0, demand(1.0, 0.0, 120.0), fleet(1, 1)))
+    without_backlog = make_planner().step(PlanInput(0.0, demand(1.0), fleet(1, 1)))
+    with_backlog = make_planner().step(
+        PlanInput(0.0, demand(1.0, 0.0, 120.0), fleet(1, 1))
+    )
     assert not orders(without_backlog)
     assert orders(with_backlog)
 
@@ -111,12 +113,14 @@
     None
 ):
     planner = make_planner()
-    planner.step(View(0.0, demand(3.0), fleet(2, 3)))
+    planner.step(PlanInput(0.0, demand(3.0), fleet(2, 3)))
     early = run_steadily(
-        planner, View(10.0, demand(0.5), fleet(2, 3)), SHRINK_DELAY_S - 100
+        planner, PlanInput(10.0, demand(0.5), fleet(2, 3)), SHRINK_DELAY_S - 100
     )
     assert not early
-    late = run_steadily(planner, View(SHRINK_DELAY_S, demand(0.5), fleet(2, 3)), 300)
+    late = run_steadily(
+        planner, PlanInput(SHRINK_DELAY_S, demand(0.5), fleet(2, 3)), 300
+    )
     drains = [d for d in late if isinstance(d, Drain)]
     assert 1 <= len(drains) <= 300 / DRAIN_INTERVAL_S
 
@@ -127,7 +131,7 @@
     moves: list[Decision] = []
     for step in range(1000):
         work = 2.4 + 0.3 * math.sin(step * 1.7)
-        decided = planner.step(View(step * 10.0, demand(work), servers))
+        decided = planner.step(PlanInput(step * 10.0, demand(work), servers))
         gone = {d.backend_id for d in decided if isinstance(d, Drain)}
         servers = [s for s in servers if s.backend_id not in gone]
         moves += decided
@@ -136,16 +140,16 @@
 
 def test_a_draining_server_is_undrained_before_a_new_one_is_ordered() -> None:
     servers = [*fleet(1, 1), server(9, "c", "cheap", ServerState.DRAINING)]
-    decided = make_planner().step(View(0.0, demand(2.0), servers))
+    decided = make_planner().step(PlanInput(0.0, demand(2.0), servers))
     assert decided == [Undrain(BackendId("s9"))]
 
 
 def test_a_drained_server_is_released_only_when_nothing_runs_there() -> None:
     busy = server(9, "c", "cheap", ServerState.DRAINING)
     planner = make_planner()
-    assert not planner.step(View(0.0, demand(0.5), [*fleet(1, 1), busy]))
+    assert not planner.step(PlanInput(0.0, demand(0.5), [*fleet(1, 1), busy]))
     empty = busy._replace(running=0)
-    decided = planner.step(View(10.0, demand(0.5), [*fleet(1, 1), empty]))
+    decided = planner.step(PlanInput(10.0, demand(0.5), [*fleet(1, 1), empty]))
     assert decided == [Release(BackendId("s9"))]
 
 
@@ -160,7 +164,7 @@
         s._replace(state=ServerState.LEAVING) if s.zone == "a" else s
         for s in fleet(2, 4)
     ]
-    decided = orders(make_planner().step(View(0.0, demand(3.5), servers)))
+    decided = orders(make_planner().step(PlanInput(0.0, demand(3.5), servers)))
     assert decided
     assert all(o.zone != "a" for o in decided if o.kind == "cheap")
 
@@ -173,8 +177,8 @@
     """
     planner = make_planner(INTENTION._replace(budget_per_hour=3.0))
     for zone in ZONES:
-        planner.cheap_refused(zone, 0.0)
-    view = View(1.0, demand(3.0), fleet(2, 0))
+        planner.record_cheap_refusal(zone, 0.0)
+    view = PlanInput(1.0, demand(3.0), fleet(2, 0))
     decided = orders(planner.step(view))
     assert [o.kind for o in decided] == ["on_demand"]
     later = orders(planner.step(view._replace(now=REFUSAL_BACKOFF_S + 1)))
@@ -188,7 +192,7 @@
 
 
 def test_old_reports_order_and_release_nothing() -> None:
-    view = View(0.0, demand(9.0), fleet(1, 1), age_s=31.0)
+    view = PlanInput(0.0, demand(9.0), fleet(1, 1), age_s=31.0)
     assert make_planner().step(view) == []
 
 
@@ -200,9 +204,9 @@
     """
     servers = fleet(2, 4)
     one = [servers[0]._replace(state=ServerState.SILENT), *servers[1:]]
-    assert len(orders(make_planner().step(View(0.0, demand(4.0), one)))) == 1
+    assert len(orders(make_planner().step(PlanInput(0.0, demand(4.0), one)))) == 1
     half = [s._replace(state=ServerState.SILENT) for s in servers[:3]] + servers[3:]
-    assert make_planner().step(View(0.0, demand(4.0), half)) == []
+    assert make_planner().step(PlanInput(0.0, demand(4.0), half)) == []
 
 
 def test_a_rising_trend_is_extrapolated_and_a_falling_one_is_not() -> None:
--- a/tests/test_capacity_orders.py
+++ b/tests/test_capacity_orders.py
@@ -10,7 +10,7 @@
 
 from fakes import ORDERS_LEASE, FakeGuard
 from godwitmast.backends.client import BackendClient
-from godwitmast.capacity.demand import DemandBook, DemandKey, DemandMeter
+from godwitmast.capacity.demand import DemandAggregator, DemandKey, DemandMeter
 from godwitmast.capacity.duty import CapacityDuty
 from godwitmast.capacity.fleet import SERVERS_KEY, FleetRow, load_fleet, merge_backends
 from godwitmast.capacity.messages import Drain, Order, Release, ServerState
@@ -317,28 +317,28 @@
 def test_demand_counts_arrivals_rather_than_answers() -> None:
     document = parse_document(dev_document([], "http://y"))
     intention = CapacityPolicy()
-    meter, book = DemandMeter(), DemandBook()
+    meter, book = DemandMeter(), DemandAggregator()
     key = DemandKey(MODEL, "question")
-    book.take({"demand/e": (1, meter.dump("i", {}))}, 0.0)
+    book.apply_rows({"demand/e": (1, meter.dump("i", {}))}, 0.0)
     for number in range(20):
-        meter.arrived(key, 600)
+        meter.record_request(key, 600)
         if number < 10:
-            meter.answered(key, 140)
-    book.take({"demand/e": (2, meter.dump("i", {key: 10}))}, 10.0)
+            meter.record_answer(key, 140)
+    book.apply_rows({"demand/e": (2, meter.dump("i", {key: 10}))}, 10.0)
     [demand] = book.demand(PoolName(MODEL), document, intention)
     assert demand.work == pytest.approx(20 * (600 / 12_000 + 140 / 1400) / 10)
     assert demand.backlog == pytest.approx(10 * 140 / 1400)
-    book.take({"demand/e": (2, meter.dump("i", {}))}, 20.0)
+    book.apply_rows({"demand/e": (2, meter.dump("i", {}))}, 20.0)
     assert book.age_s(50.0) == 40.0
 
 
 def test_a_restarted_entry_neither_inflates_nor_loses_demand() -> None:
-    book = DemandBook()
+    book = DemandAggregator()
     key = DemandKey(MODEL, "question")
     old, new = DemandMeter(), DemandMeter()
     for _ in range(1000):
-        old.arrived(key, 1200)
-    book.take({"demand/e": (1, old.dump("i1", {}))}, 0.0)
-    new.arrived(key, 1200)
-    book.take({"demand/e": (2, new.dump("i2", {}))}, 10.0)
+        old.record_request(key, 1200)
+    book.apply_rows({"demand/e": (1, old.dump("i1", {}))}, 0.0)
+    new.record_request(key, 1200)
+    book.apply_rows({"demand/e": (2, new.dump("i2", {}))}, 10.0)
     assert book.increments[key].requests == 1
--- a/tests/test_zonal.py
+++ b/tests/test_zonal.py
@@ -8,8 +8,8 @@
     OBSERVATION_S,
     OPEN_REQUESTS_PER_SERVER,
     REFUSAL_BACKOFF_S,
+    DesiredServers,
     ListedServer,
-    Wanted,
     ZonalLimits,
     ZonalPlanner,
 )
@@ -17,8 +17,8 @@
 
 A, B, C = (ZoneName(name) for name in "abc")
 LIMITS = ZonalLimits(
-    least=1,
-    most=6,
+    min_per_zone=1,
+    max_per_zone=6,
     start_s=4.0,
     cheap_price=0.22,
     zone_prices={A: 1.0, B: 0.8, C: 1.25},
@@ -38,7 +38,7 @@
         self.without_cheap: set[ZoneName] = set()
         self.now = 0.0
         self.closed: set[ZoneName] = set()
-        self.sent: list[Wanted] = []
+        self.sent: list[DesiredServers] = []
         self.most_at_once = 0
 
     @property
@@ -73,7 +73,7 @@
             outcome = self.apply_order(item)
             self.planner.record_outcome(item, outcome, self.now)
 
-    def apply_order(self, item: Wanted) -> OrderOutcome:
+    def apply_order(self, item: DesiredServers) -> OrderOutcome:
         place = (item.zone, item.kind)
         if item.number > self.counts[place]:
             if item.kind == "cheap" and item.zone in self.without_cheap:
@@ -139,7 +139,7 @@
     assert platform.total == 9
     platform.play(10, open_requests=1000)
     assert platform.total == 18
-    assert platform.most_at_once <= LIMITS.most
+    assert platform.most_at_once <= LIMITS.max_per_zone
 
 
 def test_fleet_shrinks_only_after_the_demand_was_low_for_long() -> None:
--- a/tests/test_zonal_duty.py
+++ b/tests/test_zonal_duty.py
@@ -7,15 +7,15 @@
 from prometheus_client import CollectorRegistry
 
 from fakes import FakeGuard
-from godwitmast.capacity.demand import OPEN
+from godwitmast.capacity.demand import OPEN_REQUESTS_KEY
 from godwitmast.capacity.messages import OrderOutcome
 from godwitmast.capacity.zonal import (
     FAILURE_BACKOFF_S,
     OBSERVATION_S,
-    Wanted,
+    DesiredServers,
     ZonalLimits,
 )
-from godwitmast.capacity.zonal_duty import ZonalDuty, open_requests
+from godwitmast.capacity.zonal_duty import ZonalDuty, sum_open_requests
 from godwitmast.clock import ManualClock
 from godwitmast.config.document import Backend
 from godwitmast.errors import PlatformError, PlatformOutcomeUnknown, PlatformUnavailable
@@ -33,10 +33,10 @@
 
     fails: PlatformError | None = None
     hangs: bool = False
-    orders: list[tuple[Wanted, int]] = field(default_factory=list)
+    orders: list[tuple[DesiredServers, int]] = field(default_factory=list)
 
     async def order_servers(
-        self, pool: PoolName, wanted: Wanted, fence: int
+        self, pool: PoolName, wanted: DesiredServers, fence: int
     ) -> OrderOutcome:
         self.orders.append((wanted, fence))
         if self.hangs:
@@ -67,7 +67,7 @@
             order_timeout_s=0.01,
         )
 
-    async def round(self, after_s: float) -> list[tuple[Wanted, int]]:
+    async def round(self, after_s: float) -> list[tuple[DesiredServers, int]]:
         """Run one round; return the numbers sent in it."""
         self.clock.advance(after_s)
         self.platform.orders.clear()
@@ -84,7 +84,7 @@
     return harness
 
 
-CHEAP = Wanted(ZoneName("a"), "cheap", 2)
+CHEAP = DesiredServers(ZoneName("a"), "cheap", 2)
 
 
 async def test_holder_sends_the_number_with_its_fence(harness: DutyHarness) -> None:
@@ -134,6 +134,11 @@
 
 
 def test_demand_sums_the_reports_of_entries_and_is_unknown_without_any() -> None:
-    assert open_requests([{OPEN: {"lm": 3}}, {OPEN: {"app": 1}}, {}], POOL) == 3
-    assert open_requests([{}], POOL) is None
-    assert open_requests([], POOL) is None
+    assert (
+        sum_open_requests(
+            [{OPEN_REQUESTS_KEY: {"lm": 3}}, {OPEN_REQUESTS_KEY: {"app": 1}}, {}], POOL
+        )
+        == 3
+    )
+    assert sum_open_requests([{}], POOL) is None
+    assert sum_open_requests([], POOL) is None
