--- a/src/godwitmast/admission/controller.py
+++ b/src/godwitmast/admission/controller.py
@@ -293,7 +293,7 @@
         queue.remove(self.jobs[request.request_id])
         self.adjust_waiting(queue, -1)
 
-    def tokens_came(
+    def record_tokens(
         self, request: RequestSpec, count: int, now: float, may_move: bool = True
     ) -> None:
         """Count tokens of a running answer.
--- a/src/godwitmast/dispatch/flights.py
+++ b/src/godwitmast/dispatch/active_requests.py
@@ -95,13 +95,13 @@
         """End the request's attempt; return the server that it ran on."""
         backend_id = active.backend_id
         if backend_id is not None:
-            on_server = self.by_server[backend_id]
-            del on_server[active.request.request_id]
-            if not on_server:
+            server_requests = self.by_server[backend_id]
+            del server_requests[active.request.request_id]
+            if not server_requests:
                 del self.by_server[backend_id]
         active.attempt_id = active.backend_id = None
         return backend_id
 
-    def on(self, backend_id: BackendId) -> list[ActiveRequest]:
+    def on_server(self, backend_id: BackendId) -> list[ActiveRequest]:
         """Return the requests that run on a server, oldest attempt first."""
         return list(self.by_server.get(backend_id, {}).values())
--- a/src/godwitmast/dispatch/backends.py
+++ b/src/godwitmast/dispatch/backends.py
@@ -18,7 +18,6 @@
 from dataclasses import dataclass, field
 
 from godwitmast.dispatch.affinity import PrefixOrders, rendezvous, within_bound
-from godwitmast.dispatch.census import RouterCount
 from godwitmast.dispatch.health import (
     HEALTHY_FACTOR,
     SLOW_FACTOR,
@@ -27,10 +26,11 @@
     may_eject,
 )
 from godwitmast.dispatch.limits import ServerLimit
-from godwitmast.dispatch.loads import OtherLoad
 from godwitmast.dispatch.messages import BackendSpec, LoadReport, RequestSpec
+from godwitmast.dispatch.other_load import OtherLoad
 from godwitmast.dispatch.pace import GapWindow, PoolPace
 from godwitmast.dispatch.placement import PoolLoad, PromptPlacement
+from godwitmast.dispatch.router_count import RouterCount
 from godwitmast.dispatch.warmup import (
     RESTART_DETECTION_S,
     Warmup,
@@ -175,13 +175,13 @@
         self.states: dict[BackendId, BackendState] = {}
         self.pools: dict[str, PoolView] = {}
         self.ejected: list[BackendState] = []
-        self.cold: dict[BackendId, BackendState] = {}
+        self.cold_servers: dict[BackendId, BackendState] = {}
 
     def update(self, specs: list[BackendSpec], now: float) -> None:
         """Replace the list of servers; the state of those that stay is kept."""
         old, old_pools = self.states, self.pools
         is_first_list = not old
-        self.cold = {}
+        self.cold_servers = {}
         self.states = {}
         self.pools = {}
         for spec in specs:
@@ -211,13 +211,17 @@
         """Return the time between two turns of this router at a cold server, in
         seconds."""
         limit = self.warmup_limit_of(spec)
-        return self.router_count.most / safe_rate_per_s(limit) if limit else math.inf
+        return (
+            self.router_count.upper_bound / safe_rate_per_s(limit)
+            if limit
+            else math.inf
+        )
 
     def turns_per_s(self) -> float:
         """Return this router's turns a second at a cold server of the pool with the
         lowest rate."""
         rates = [
-            safe_rate_per_s(limit) / self.router_count.most
+            safe_rate_per_s(limit) / self.router_count.upper_bound
             for limit in self.warmup_limits.values()
         ]
         return min(rates, default=0.0)
@@ -249,7 +253,7 @@
     def track_cold(self, state: BackendState, now: float) -> None:
         """Start turns at the server if it is cold."""
         if state.warmup.is_cold(now):
-            self.cold[state.backend_id] = state
+            self.cold_servers[state.backend_id] = state
         state.warmup.advance(self.turn_period_s(state.spec), now, self.random)
 
     def record_unreachable(self, backend_id: BackendId, now: float) -> None:
@@ -691,11 +695,11 @@
     def tick(self, now: float) -> None:
         """Update the turns at cold servers, and make ejected servers available to
         probes."""
-        for state in list(self.cold.values()):
+        for state in list(self.cold_servers.values()):
             state.warmup.advance(self.turn_period_s(state.spec), now, self.random)
             self.refresh(state, now)
             if not state.warmup.is_cold(now):
-                del self.cold[state.backend_id]
+                del self.cold_servers[state.backend_id]
         still_ejected = []
         for state in self.ejected:
             if state.health.is_in_rotation():
--- a/src/godwitmast/dispatch/evictions.py
+++ b/src/godwitmast/dispatch/evictions.py
@@ -13,7 +13,7 @@
 
 from typing import NamedTuple
 
-from godwitmast.dispatch.flights import ActiveRequest
+from godwitmast.dispatch.active_requests import ActiveRequest
 from godwitmast.types import BackendId
 
 SAFETY_MARGIN_S = 1.0
--- a/src/godwitmast/dispatch/messages.py
+++ b/src/godwitmast/dispatch/messages.py
@@ -5,7 +5,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from godwitmast.dispatch.placement import Part, Prompt
+from godwitmast.dispatch.placement import Prompt, PromptPart
 from godwitmast.types import (
     AttemptId,
     BackendId,
@@ -41,7 +41,7 @@
     resumable: bool = True
     streams: bool = True
     attempts: int | None = None
-    parts: tuple[Part, ...] = ()
+    parts: tuple[PromptPart, ...] = ()
 
     @property
     def prompt(self) -> Prompt:
@@ -209,7 +209,7 @@
     age_s: float
 
 
-PoisonNews = Suspicion | Placement | Quarantine | Clearance
+PoisonUpdate = Suspicion | Placement | Quarantine | Clearance
 """Updates that entries exchange about requests that may crash servers.
 
 Times are ages and remaining seconds, since entries have no common clock. Every message
--- a/src/godwitmast/dispatch/placement.py
+++ b/src/godwitmast/dispatch/placement.py
@@ -100,7 +100,7 @@
 still cached on the engines that they ranked first before."""
 
 
-class Part(NamedTuple):
+class PromptPart(NamedTuple):
     """A part of a prompt. Equal ids mean equal text after equal preceding parts."""
 
     part_id: str
@@ -112,7 +112,7 @@
 
     class_name: ClassName
     tokens: int
-    parts: tuple[Part, ...]
+    parts: tuple[PromptPart, ...]
 
 
 class Engine(Protocol):
@@ -417,7 +417,7 @@
         since = self.member_since.get(self.is_interactive(prompt), {})
         return now - since.get(engine, now) < NEW_MEMBER_S
 
-    def holds_part(self, backend_id: BackendId, part: Part, now: float) -> bool:
+    def holds_part(self, backend_id: BackendId, part: PromptPart, now: float) -> bool:
         sent_at = self.sent_at.get((backend_id, part.part_id))
         return sent_at is not None and now - sent_at < PART_RETENTION_S
 
--- a/src/godwitmast/dispatch/poison.py
+++ b/src/godwitmast/dispatch/poison.py
@@ -10,7 +10,7 @@
 the cause: two crashes are what it takes to tell it from the requests that ran beside
 it, and fewer cannot. Other suspects crash nothing, and are cleared when they complete.
 
-Entries exchange what they observe as `PoisonNews`. Call `pop_updates` often and send
+Entries exchange what they observe as `PoisonUpdate`. Call `pop_updates` often and send
 what it returns to all peers, call `export_updates` for a peer that joins, and
 `apply_updates` with what peers sent.
 """
@@ -24,7 +24,7 @@
     Clearance,
     Crash,
     Placement,
-    PoisonNews,
+    PoisonUpdate,
     Quarantine,
     Suspicion,
 )
@@ -102,9 +102,9 @@
         self.running_on: dict[str, BackendId] = {}
         self.reservations: dict[str, tuple[BackendId, float]] = {}
         self.recent_crashes: deque[CrashRecord] = deque()
-        self.news: list[PoisonNews] = []
+        self.updates: list[PoisonUpdate] = []
 
-    def quarantine_left(self, fingerprint: str, now: float) -> float | None:
+    def quarantine_left_s(self, fingerprint: str, now: float) -> float | None:
         """Return for how many seconds the fingerprint is still refused, or None."""
         until = self.quarantined.get(fingerprint)
         return until - now if until is not None and until > now else None
@@ -130,7 +130,7 @@
         self.reservations[fingerprint] = (backend_id, now)
         probations = self.probations.setdefault(backend_id, {})
         probations[fingerprint] = now + PLACEMENT_TTL_S
-        self.news.append(Placement(fingerprint, backend_id, PLACEMENT_TTL_S))
+        self.updates.append(Placement(fingerprint, backend_id, PLACEMENT_TTL_S))
 
     def reservation_of(
         self, fingerprint: str, now: float
@@ -154,7 +154,7 @@
         if reservation is not None and self.remove_probation(
             fingerprint, reservation[0]
         ):
-            self.news.append(Placement(fingerprint, reservation[0], 0.0))
+            self.updates.append(Placement(fingerprint, reservation[0], 0.0))
 
     def record_start(self, fingerprint: str, backend_id: BackendId, now: float) -> None:
         """Record that a request runs on a server, on probation if it is a suspect."""
@@ -166,7 +166,7 @@
         if reservation is not None and reservation[0] != backend_id:
             self.remove_probation(fingerprint, reservation[0])
         self.add_probation(fingerprint, backend_id, now + PLACEMENT_TTL_S)
-        self.news.append(Placement(fingerprint, backend_id, PLACEMENT_TTL_S))
+        self.updates.append(Placement(fingerprint, backend_id, PLACEMENT_TTL_S))
 
     def record_progress(self, fingerprint: str, ran_s: float, now: float) -> bool:
         """End the probation of a suspect that ran long enough; return whether it
@@ -190,7 +190,7 @@
         self.end_probation(fingerprint)
         del self.suspects[fingerprint]
         self.cleared_at[fingerprint] = now
-        self.news.append(Clearance(fingerprint, 0.0))
+        self.updates.append(Clearance(fingerprint, 0.0))
 
     def record_crash(
         self, backend_id: BackendId, in_flight: Iterable[InFlight], now: float
@@ -262,10 +262,10 @@
             suspect = self.suspects[fingerprint]
             if len(suspect.crashes) >= CRASHES_TO_QUARANTINE:
                 self.quarantine(fingerprint, now + QUARANTINE_S)
-                self.news.append(Quarantine(fingerprint, QUARANTINE_S))
+                self.updates.append(Quarantine(fingerprint, QUARANTINE_S))
                 quarantined.append(fingerprint)
             else:
-                self.news.append(suspicion_update(fingerprint, suspect, now))
+                self.updates.append(suspicion_update(fingerprint, suspect, now))
         return quarantined
 
     def quarantine(self, fingerprint: str, until: float) -> None:
@@ -288,7 +288,7 @@
         if backend_id is None:
             return
         if self.remove_probation(fingerprint, backend_id):
-            self.news.append(Placement(fingerprint, backend_id, 0.0))
+            self.updates.append(Placement(fingerprint, backend_id, 0.0))
 
     def remove_probation(self, fingerprint: str, backend_id: BackendId) -> bool:
         """Remove a suspect from the server's probations; return whether it was among
@@ -322,14 +322,14 @@
                 self.end_probation(fingerprint)
                 del self.suspects[fingerprint]
 
-    def pop_updates(self) -> list[PoisonNews]:
+    def pop_updates(self) -> list[PoisonUpdate]:
         """Return and clear the updates that peers have not been sent yet."""
-        news, self.news = self.news, []
-        return news
+        updates, self.updates = self.updates, []
+        return updates
 
-    def export_updates(self, now: float) -> list[PoisonNews]:
+    def export_updates(self, now: float) -> list[PoisonUpdate]:
         """Return everything known, for a peer that has just joined."""
-        known: list[PoisonNews] = [
+        known: list[PoisonUpdate] = [
             Quarantine(fingerprint, until - now)
             for fingerprint, until in self.quarantined.items()
             if until > now
@@ -345,11 +345,11 @@
         ]
         return known
 
-    def apply_updates(self, news: Iterable[PoisonNews], now: float) -> list[str]:
+    def apply_updates(self, updates: Iterable[PoisonUpdate], now: float) -> list[str]:
         """Apply a peer's updates; return the fingerprints that are now quarantined by
         them."""
         quarantined: list[str] = []
-        for item in news:
+        for item in updates:
             match item:
                 case Quarantine(fingerprint, left_s):
                     if left_s > 0:
@@ -366,7 +366,7 @@
     def apply_suspicion(self, item: Suspicion, now: float) -> list[str]:
         """Add a peer's observed crashes to our own; return the fingerprint if that
         quarantines it."""
-        if self.quarantine_left(item.fingerprint, now) is not None:
+        if self.quarantine_left_s(item.fingerprint, now) is not None:
             return []
         cleared_at = self.cleared_at.get(item.fingerprint, float("-inf"))
         crashes = [
@@ -382,7 +382,7 @@
         if len(suspect.crashes) < CRASHES_TO_QUARANTINE:
             return []
         self.quarantine(item.fingerprint, now + QUARANTINE_S)
-        self.news.append(Quarantine(item.fingerprint, QUARANTINE_S))
+        self.updates.append(Quarantine(item.fingerprint, QUARANTINE_S))
         return [item.fingerprint]
 
     def apply_placement(
--- a/src/godwitmast/dispatch/policy.py
+++ b/src/godwitmast/dispatch/policy.py
@@ -28,15 +28,15 @@
 
     def submit(self, request: RequestSpec, now: float) -> list[Action]: ...
 
-    def tokens_came(
+    def record_tokens(
         self, request_id: RequestId, attempt_id: AttemptId, count: int, now: float
     ) -> list[Action]: ...
 
-    def finished(
+    def record_completion(
         self, request_id: RequestId, attempt_id: AttemptId, now: float
     ) -> list[Action]: ...
 
-    def failed(
+    def record_failure(
         self,
         request_id: RequestId,
         attempt_id: AttemptId,
@@ -44,11 +44,11 @@
         now: float,
     ) -> list[Action]: ...
 
-    def withdraw(
+    def cancel_request(
         self, request_id: RequestId, reason: CancelReason, now: float
     ) -> list[Action]: ...
 
-    def load_reported(
+    def record_load(
         self, backend_id: BackendId, report: LoadReport, now: float
     ) -> list[Action]: ...
 
--- a/src/godwitmast/dispatch/retries.py
+++ b/src/godwitmast/dispatch/retries.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from godwitmast.dispatch.census import RouterCount
+from godwitmast.dispatch.router_count import RouterCount
 from godwitmast.types import PoolName, RequestId
 
 RETRIES_PER_SUCCESS = 0.1
@@ -80,7 +80,7 @@
         return self.budgets[pool]
 
 
-class DividedBudgets(RetryBudgets):
+class SharedRetryBudgets(RetryBudgets):
     """This router's share of retry budgets, one for each pool, that all routers share.
 
     Load pattern: a fault that every router sees at once, such as the loss of a zone's
@@ -98,12 +98,12 @@
         )
         self.router_count = RouterCount()
 
-    def divide(self, routers: int, now: float) -> None:
+    def set_router_count(self, routers: int, now: float) -> None:
         """Set the share from the number of routers; 0 if that is not known."""
         is_first_count = self.router_count.routers == 0
-        if not self.router_count.note(routers, now):
+        if not self.router_count.update(routers, now):
             return
-        self.capacity = self.total_capacity / self.router_count.most
+        self.capacity = self.total_capacity / self.router_count.upper_bound
         for budget in self.budgets.values():
             budget.capacity = self.capacity
             budget.remaining = (
--- a/src/godwitmast/dispatch/router.py
+++ b/src/godwitmast/dispatch/router.py
@@ -9,10 +9,9 @@
 
 from godwitmast.admission.controller import Admission
 from godwitmast.config.document import Document
+from godwitmast.dispatch.active_requests import ActiveRequest, ActiveRequests
 from godwitmast.dispatch.backends import BackendTable
-from godwitmast.dispatch.census import RouterCount
 from godwitmast.dispatch.evictions import RemovalNotice
-from godwitmast.dispatch.flights import ActiveRequest, ActiveRequests
 from godwitmast.dispatch.messages import (
     Action,
     BackendSpec,
@@ -21,7 +20,7 @@
     FailureKind,
     LoadReport,
     NotRun,
-    PoisonNews,
+    PoisonUpdate,
     RefusalCode,
     Refuse,
     RequestSpec,
@@ -29,6 +28,7 @@
 )
 from godwitmast.dispatch.poison import CRASH_DEDUP_S, InFlight, PoisonGuard
 from godwitmast.dispatch.retries import RetryBudgets, RetryQueue, backoff_s
+from godwitmast.dispatch.router_count import RouterCount
 from godwitmast.dispatch.timeouts import CheckQueue, hang_deadline, silence_limit_s
 from godwitmast.dispatch.warmup import WarmupLimit
 from godwitmast.types import AttemptId, BackendId, RequestId, ZoneName
@@ -71,7 +71,7 @@
         self.admission = Admission(document, seed)
         self.backends = BackendTable(zone, seed, router_count)
         self.backends.warmup_limits = warmup_limits(document)
-        self.book = ActiveRequests()
+        self.active_requests = ActiveRequests()
         self.guard = PoisonGuard()
         self.budgets = budgets or RetryBudgets()
         self.retries = RetryQueue()
@@ -104,13 +104,13 @@
 
     def submit(self, request: RequestSpec, now: float) -> list[Action]:
         """Admit the request, or refuse it."""
-        left_s = self.guard.quarantine_left(request.fingerprint, now)
+        left_s = self.guard.quarantine_left_s(request.fingerprint, now)
         if left_s is not None:
             return [refuse(request, RefusalCode.QUARANTINED, left_s)]
         if not self.backends.serves(request.pool):
             return [refuse(request, RefusalCode.NO_BACKEND, RETRY_AFTER_S)]
         request_class = self.document.classes[request.class_name]
-        self.book.add(ActiveRequest(request, request_class))
+        self.active_requests.add(ActiveRequest(request, request_class))
         placement = self.backends.placement_of(request)
         if placement is not None:
             placement.record_arrival(
@@ -119,15 +119,15 @@
         refusals = self.end_refused(self.admission.offer(request, now))
         return [*refusals, *self.start_waiting(now)]
 
-    def tokens_came(
+    def record_tokens(
         self, request_id: RequestId, attempt_id: AttemptId, count: int, now: float
     ) -> list[Action]:
         """Record tokens that were passed on to the caller."""
-        active = self.book.find_attempt(request_id, attempt_id)
+        active = self.active_requests.find_attempt(request_id, attempt_id)
         if active is None or active.backend_id is None:
             return []
         active.tokens += count
-        self.admission.tokens_came(active.request, count, now, active.may_move)
+        self.admission.record_tokens(active.request, count, now, active.may_move)
         if not active.request.streams:
             return []
         slow = self.record_latency(active, count, now)
@@ -157,11 +157,11 @@
         self.backends.record_first_token(active.backend_id, pool, waited_s, late, now)
         return False
 
-    def finished(
+    def record_completion(
         self, request_id: RequestId, attempt_id: AttemptId, now: float
     ) -> list[Action]:
         """Record that an attempt delivered its whole answer."""
-        active = self.book.find_attempt(request_id, attempt_id)
+        active = self.active_requests.find_attempt(request_id, attempt_id)
         if active is None or active.backend_id is None:
             return []
         latency_s = None
@@ -174,7 +174,7 @@
         self.end_request(active, now, whole=True)
         return self.start_waiting(now)
 
-    def failed(
+    def record_failure(
         self,
         request_id: RequestId,
         attempt_id: AttemptId,
@@ -182,7 +182,7 @@
         now: float,
     ) -> list[Action]:
         """Retry a failed attempt elsewhere if that is safe, or refuse its request."""
-        active = self.book.find_attempt(request_id, attempt_id)
+        active = self.active_requests.find_attempt(request_id, attempt_id)
         if active is None or active.backend_id is None:
             return []
         actions = self.record_server_failure(active, active.backend_id, kind, now)
@@ -239,7 +239,7 @@
         self.crashed_at[backend_id] = now
         in_flight = [
             InFlight(other.request.fingerprint, now - other.started_at)
-            for other in self.book.on(backend_id)
+            for other in self.active_requests.on_server(backend_id)
         ]
         quarantined = self.guard.record_crash(backend_id, in_flight, now)
         return self.refuse_quarantined(quarantined, now)
@@ -253,9 +253,9 @@
             return []
         actions: list[Action] = []
         # A scan of all requests, at most once in a quarantine's duration.
-        for active in list(self.book.by_id.values()):
+        for active in list(self.active_requests.by_id.values()):
             if active.request.fingerprint in wanted:
-                left_s = self.guard.quarantine_left(active.request.fingerprint, now)
+                left_s = self.guard.quarantine_left_s(active.request.fingerprint, now)
                 actions += self.end_with_refusal(
                     active, RefusalCode.QUARANTINED, left_s, now
                 )
@@ -328,7 +328,7 @@
     ) -> list[Action]:
         """Move requests that may be moved off a server that was just found slow."""
         actions: list[Action] = []
-        for active in self.book.on(backend_id):
+        for active in self.active_requests.on_server(backend_id):
             if (
                 active is except_for
                 or not active.may_move
@@ -352,11 +352,11 @@
         self.admission.requeue(active.request, now)
         return cancel
 
-    def withdraw(
+    def cancel_request(
         self, request_id: RequestId, reason: CancelReason, now: float
     ) -> list[Action]:
         """End a request whose caller disconnected or whose key was withdrawn."""
-        active = self.book.get(request_id)
+        active = self.active_requests.get(request_id)
         if active is None:
             return []
         actions: list[Action] = []
@@ -376,26 +376,28 @@
         else:
             self.admission.remove(active.request)
 
-    def load_reported(
+    def record_load(
         self, backend_id: BackendId, report: LoadReport, now: float
     ) -> list[Action]:
         """Apply a server's load report, whatever its source."""
         self.backends.record_load(backend_id, report, now)
         return self.start_waiting(now)
 
-    def take_poison_news(self) -> list[PoisonNews]:
+    def pop_poison_updates(self) -> list[PoisonUpdate]:
         """Return and clear the updates on suspects that other entries are to be sent at
         once."""
         return self.guard.pop_updates()
 
-    def export_poison_updates(self, now: float) -> list[PoisonNews]:
+    def export_poison_updates(self, now: float) -> list[PoisonUpdate]:
         """Return everything known about suspects, for an entry that has just joined."""
         return self.guard.export_updates(now)
 
-    def import_poison(self, news: Iterable[PoisonNews], now: float) -> list[Action]:
+    def apply_poison_updates(
+        self, updates: Iterable[PoisonUpdate], now: float
+    ) -> list[Action]:
         """Apply another entry's updates; applying the same ones again changes
         nothing."""
-        quarantined = self.guard.apply_updates(news, now)
+        quarantined = self.guard.apply_updates(updates, now)
         return [*self.refuse_quarantined(quarantined, now), *self.start_waiting(now)]
 
     def tick(self, now: float) -> list[Action]:
@@ -409,7 +411,7 @@
         for active in self.check_queue.pop_due(now):
             actions += self.check_attempt(active, now)
         for notice in self.removal_notices.values():
-            running = self.book.on(notice.backend_id)
+            running = self.active_requests.on_server(notice.backend_id)
             for active in notice.select_to_move(running, now):
                 actions.append(self.move_attempt(active, CancelReason.EVICTED, now))
         for request_id in self.retries.pop_due(now):
@@ -442,7 +444,7 @@
 
     def requeue(self, request_id: RequestId, now: float) -> list[Action]:
         """Queue a request again whose backoff is over."""
-        active = self.book.get(request_id)
+        active = self.active_requests.get(request_id)
         if active is None:
             return []
         deadline = active.request.deadline
@@ -460,7 +462,7 @@
         """End requests that admission refused, and mark those that may have run."""
         actions: list[Action] = []
         for refusal in refusals:
-            active = self.book.by_id.pop(refusal.request_id)
+            active = self.active_requests.by_id.pop(refusal.request_id)
             if active.may_have_run:
                 refusal = without_not_run_claim(refusal)
             actions.append(refusal)
@@ -474,7 +476,9 @@
                 request = self.admission.pop_next(pool, now)
                 if request is None:
                     break
-                actions += self.start_request(self.book.by_id[request.request_id], now)
+                actions += self.start_request(
+                    self.active_requests.by_id[request.request_id], now
+                )
             actions += self.preempt(pool, now)
         return actions
 
@@ -495,9 +499,9 @@
             )
             if preemption is None:
                 return actions
-            active = self.book.by_id[preemption.request.request_id]
+            active = self.active_requests.by_id[preemption.request.request_id]
             if preemption.victim is not None:
-                victim = self.book.by_id[preemption.victim.request_id]
+                victim = self.active_requests.by_id[preemption.victim.request_id]
                 server_id = victim.backend_id
                 actions.append(self.cancel_preempted(victim, now))
             elif server_id is not None:
@@ -550,7 +554,7 @@
             self.admission.undo_start(request)
             self.delay(active, now + SUSPECT_RETRY_S)
             return []
-        attempt_id = self.book.start_attempt(active, backend_id, now)
+        attempt_id = self.active_requests.start_attempt(active, backend_id, now)
         self.backends.add_request(backend_id, now)
         source = None
         model = self.document.models.get(request.pool)
@@ -652,7 +656,7 @@
 
     def end_attempt(self, active: ActiveRequest, now: float) -> None:
         """Release the server that an attempt used."""
-        backend_id = self.book.end_attempt(active)
+        backend_id = self.active_requests.end_attempt(active)
         if backend_id is not None:
             self.record_prefill(active, backend_id)
             placement = self.backends.placement_of(active.request)
@@ -673,7 +677,7 @@
     def end_request(
         self, active: ActiveRequest, now: float, whole: bool = False
     ) -> None:
-        self.book.remove(active)
+        self.active_requests.remove(active)
         self.guard.cancel_reservation(active.request.fingerprint)
         self.admission.record_end(active.request, now, whole)
 
--- a/src/godwitmast/dispatch/census.py
+++ b/src/godwitmast/dispatch/router_count.py
@@ -18,7 +18,7 @@
     routers: int = 0
     counted_at: float = -math.inf
 
-    def note(self, routers: int, now: float) -> bool:
+    def update(self, routers: int, now: float) -> bool:
         """Record a count, 0 if it is not known; return whether it replaces the last
         one."""
         if routers < 1:
@@ -29,7 +29,7 @@
         return True
 
     @property
-    def most(self) -> float:
+    def upper_bound(self) -> float:
         """Return an upper bound on the number of routers, infinite while that is not
         known."""
         return COUNT_MARGIN * self.routers if self.routers else math.inf
--- a/src/godwitmast/dispatch/timeouts.py
+++ b/src/godwitmast/dispatch/timeouts.py
@@ -14,7 +14,7 @@
 
 import heapq
 
-from godwitmast.dispatch.flights import ActiveRequest
+from godwitmast.dispatch.active_requests import ActiveRequest
 from godwitmast.dispatch.pace import PoolPace
 from godwitmast.types import AttemptId
 
--- a/src/godwitmast/entry/driver.py
+++ b/src/godwitmast/entry/driver.py
@@ -21,7 +21,6 @@
 from godwitmast.capacity.fleet import EMPTY_FLEET, FleetRow, merge_backends
 from godwitmast.clock import Clock
 from godwitmast.config.document import Backend, Document, NumberedConfig
-from godwitmast.dispatch.census import RouterCount
 from godwitmast.dispatch.messages import (
     Action,
     BackendSpec,
@@ -35,6 +34,7 @@
 from godwitmast.dispatch.policy import Policy
 from godwitmast.dispatch.retries import RetryBudgets
 from godwitmast.dispatch.router import Router
+from godwitmast.dispatch.router_count import RouterCount
 from godwitmast.logs import log_event
 from godwitmast.types import AttemptId, BackendId, PoolName, RequestId, ZoneName
 
@@ -92,7 +92,7 @@
 
     def count_entries(self, entries: int) -> None:
         """Record the number of entries, each of which has a router; 0 if unknown."""
-        self.count.note(entries, self.clock.now())
+        self.count.update(entries, self.clock.now())
 
     def config_changed(self, config: NumberedConfig) -> None:
         """Apply a configuration; the first one creates the router."""
@@ -136,7 +136,7 @@
 
     def count_cold(self) -> int:
         """Return the number of cold servers, to which this entry sends in turns."""
-        return len(self.router.backends.cold) if self.router else 0
+        return len(self.router.backends.cold_servers) if self.router else 0
 
     def cold_turns_per_s(self) -> float:
         """Return this entry's turns per second at a cold server of the tightest pool."""
@@ -227,26 +227,30 @@
         if mailbox is not None:
             mailbox.close()
 
-    def tokens_came(
+    def record_tokens(
         self, request_id: RequestId, attempt_id: AttemptId, count: int
     ) -> None:
         now = self.clock.now()
         self.deliver_actions(
-            self.policy.tokens_came(request_id, attempt_id, count, now)
+            self.policy.record_tokens(request_id, attempt_id, count, now)
         )
 
     def finished(self, request_id: RequestId, attempt_id: AttemptId) -> None:
         now = self.clock.now()
-        self.deliver_actions(self.policy.finished(request_id, attempt_id, now))
+        self.deliver_actions(self.policy.record_completion(request_id, attempt_id, now))
 
     def failed(
         self, request_id: RequestId, attempt_id: AttemptId, kind: FailureKind
     ) -> None:
         now = self.clock.now()
-        self.deliver_actions(self.policy.failed(request_id, attempt_id, kind, now))
+        self.deliver_actions(
+            self.policy.record_failure(request_id, attempt_id, kind, now)
+        )
 
     def withdraw(self, request_id: RequestId, reason: CancelReason) -> None:
-        self.deliver_actions(self.policy.withdraw(request_id, reason, self.clock.now()))
+        self.deliver_actions(
+            self.policy.cancel_request(request_id, reason, self.clock.now())
+        )
 
     @property
     def policy(self) -> Policy:
@@ -321,4 +325,4 @@
         """Record a server's load, from a poll, a peer or the headers of an answer."""
         if self.router is not None:
             now = self.clock.now()
-            self.deliver_actions(self.router.load_reported(backend_id, report, now))
+            self.deliver_actions(self.router.record_load(backend_id, report, now))
--- a/src/godwitmast/entry/exchange.py
+++ b/src/godwitmast/entry/exchange.py
@@ -443,7 +443,7 @@
             return
         self.token_times.record_tokens(self.driver.clock.now())
         self.tokens_by_kind[self.driver.backend_kind(start.backend_id)] += count
-        self.driver.tokens_came(self.spec.request_id, start.attempt_id, count)
+        self.driver.record_tokens(self.spec.request_id, start.attempt_id, count)
 
     async def forward_whole(self, start: Start, answer: httpx.Response) -> None:
         """Forward an answer that isn't streamed, with its status."""
@@ -454,7 +454,7 @@
         if self.reported_usage:
             kind = self.driver.backend_kind(start.backend_id)
             self.tokens_by_kind[kind] += self.reported_usage.output
-            self.driver.tokens_came(
+            self.driver.record_tokens(
                 self.spec.request_id, start.attempt_id, self.reported_usage.output
             )
         headers = self.outbound.whole_head(answer)
--- a/src/godwitmast/entry/spreading.py
+++ b/src/godwitmast/entry/spreading.py
@@ -11,7 +11,7 @@
     Clearance,
     LoadReport,
     Placement,
-    PoisonNews,
+    PoisonUpdate,
     Quarantine,
     Suspicion,
 )
@@ -246,7 +246,7 @@
         router = self.router.router
         if not isinstance(router, Router):
             return
-        for news in router.take_poison_news():
+        for news in router.pop_poison_updates():
             kind = type(news).__name__.lower()
             _, topic, left_s = POISON_KINDS[kind]
             # The key contains the node: crashes seen by two nodes add up, and under
@@ -261,15 +261,17 @@
             return
         try:
             kind, _, left_s = POISON_KINDS[record.value["kind"]]
-            news: PoisonNews = msgspec.convert(record.value["news"], kind)
+            news: PoisonUpdate = msgspec.convert(record.value["news"], kind)
         except (KeyError, TypeError, msgspec.ValidationError) as error:
             log_event("peer_news_bad", level="WARNING", error=repr(error))
             return
         advanced = advance_ages(news, max(0.0, left_s - record.left_s))
-        self.router.deliver_actions(router.import_poison([advanced], self.clock.now()))
+        self.router.deliver_actions(
+            router.apply_poison_updates([advanced], self.clock.now())
+        )
 
 
-def advance_ages(news: PoisonNews, elapsed_s: float) -> PoisonNews:
+def advance_ages(news: PoisonUpdate, elapsed_s: float) -> PoisonUpdate:
     """Return the update with its ages and remaining times advanced by `elapsed_s`."""
     match news:
         case Quarantine() | Placement():
--- a/src/godwitmast/load/admission_cost.py
+++ b/src/godwitmast/load/admission_cost.py
@@ -68,7 +68,7 @@
         request = admission.pop_next(POOL, now)
         taken = time.perf_counter()
         assert request is not None
-        admission.tokens_came(request, 100, now)
+        admission.record_tokens(request, 100, now)
         ending = time.perf_counter()
         admission.record_end(request, now, completed=True)
         times.append((offered - start, taken - offered, time.perf_counter() - ending))
--- a/src/godwitmast/load/baselines.py
+++ b/src/godwitmast/load/baselines.py
@@ -71,19 +71,19 @@
         self.queue.append(request.request_id)
         return self.pump()
 
-    def tokens_came(
+    def record_tokens(
         self, request_id: RequestId, attempt_id: AttemptId, count: int, now: float
     ) -> list[Action]:
         self.held[request_id].tokens += count
         return []
 
-    def finished(
+    def record_completion(
         self, request_id: RequestId, attempt_id: AttemptId, now: float
     ) -> list[Action]:
         self.release(self.held.pop(request_id))
         return self.pump()
 
-    def failed(
+    def record_failure(
         self,
         request_id: RequestId,
         attempt_id: AttemptId,
@@ -100,7 +100,7 @@
         self.queue.appendleft(request_id)
         return self.pump()
 
-    def withdraw(
+    def cancel_request(
         self, request_id: RequestId, reason: CancelReason, now: float
     ) -> list[Action]:
         held = self.held.pop(request_id, None)
@@ -113,7 +113,7 @@
         self.release(held)
         return [cancel, *self.pump()]
 
-    def load_reported(
+    def record_load(
         self, backend_id: BackendId, report: LoadReport, now: float
     ) -> list[Action]:
         return []
--- a/src/godwitmast/load/decision_cost.py
+++ b/src/godwitmast/load/decision_cost.py
@@ -132,7 +132,7 @@
         request = self.request()
         self.now += 0.001
         began = time.perf_counter()
-        ended = self.router.finished(*ids, self.now)
+        ended = self.router.record_completion(*ids, self.now)
         taken = self.router.submit(request, self.now)
         seconds = time.perf_counter() - began
         self.note([*ended, *taken])
@@ -144,7 +144,7 @@
         ids = self.random.choice(self.running)
         self.now += 0.001
         began = time.perf_counter()
-        actions = self.router.tokens_came(*ids, 1, self.now)
+        actions = self.router.record_tokens(*ids, 1, self.now)
         seconds = time.perf_counter() - began
         self.note(actions)
         return seconds
--- a/src/godwitmast/load/slopes.py
+++ b/src/godwitmast/load/slopes.py
@@ -243,10 +243,10 @@
         started += [a for a in router.submit(request, now) if isinstance(a, Start)]
         if len(started) > 100:
             first = started.pop(0)
-            router.tokens_came(first.request_id, first.attempt_id, 100, now)
-            router.finished(first.request_id, first.attempt_id, now)
+            router.record_tokens(first.request_id, first.attempt_id, 100, now)
+            router.record_completion(first.request_id, first.attempt_id, now)
     for start in started:
-        router.finished(start.request_id, start.attempt_id, now)
+        router.record_completion(start.request_id, start.attempt_id, now)
 
 
 SERVERS = (50, 200, 400, 850)
--- a/src/godwitmast/load/world.py
+++ b/src/godwitmast/load/world.py
@@ -22,7 +22,7 @@
     FailureKind,
     LoadReport,
     NotRun,
-    PoisonNews,
+    PoisonUpdate,
     Refuse,
     RequestSpec,
     Start,
@@ -266,7 +266,7 @@
     ) -> None:
         need = self.requests.pop(request_id)
         self.end(need, outcome)
-        actions = self.policies[need.entry].withdraw(request_id, reason, self.now)
+        actions = self.policies[need.entry].cancel_request(request_id, reason, self.now)
         self.act(need.entry, actions)
 
     def end(self, need: Need, outcome: str) -> None:
@@ -284,15 +284,15 @@
 
     def spread(self, number: int, router: Router) -> None:
         """Tell the other entries of suspects, as the peers' links do."""
-        news = router.take_poison_news()
+        news = router.pop_poison_updates()
         for other in range(len(self.policies)):
             if news and other != number:
                 self.at(self.now + PEER_S, self.hear, other, news)
 
-    def hear(self, number: int, news: list[PoisonNews]) -> None:
+    def hear(self, number: int, news: list[PoisonUpdate]) -> None:
         router = self.policies[number]
         assert isinstance(router, Router)
-        self.act(number, router.import_poison(news, self.now))
+        self.act(number, router.apply_poison_updates(news, self.now))
 
     def act(self, entry: int, actions: list[Action]) -> None:
         """Carry out what a policy said."""
@@ -413,12 +413,12 @@
             need.first_token_at = self.now
         self.score.token(need, self.now)
         ids = (attempt.request_id, attempt.attempt_id)
-        actions = policy.tokens_came(*ids, 1, self.now)
+        actions = policy.record_tokens(*ids, 1, self.now)
         if event.last:
             del self.attempts[attempt.entry, attempt.attempt_id]
             del self.requests[attempt.request_id]
             self.end(need, "answered")
-            actions = actions + policy.finished(*ids, self.now)
+            actions = actions + policy.record_completion(*ids, self.now)
         self.act(attempt.entry, actions)
 
     def fail(
@@ -429,7 +429,7 @@
         kind: FailureKind,
     ) -> None:
         policy = self.policies[entry]
-        self.act(entry, policy.failed(request_id, attempt_id, kind, self.now))
+        self.act(entry, policy.record_failure(request_id, attempt_id, kind, self.now))
 
     def report(self, engine: Engine) -> None:
         """Let an engine report its load, as it was a while ago, to every entry."""
@@ -448,7 +448,7 @@
         report = report._replace(age_s=self.now - made)
         backend_id = BackendId(engine.spec.name)
         for number, policy in enumerate(self.policies):
-            self.act(number, policy.load_reported(backend_id, report, self.now))
+            self.act(number, policy.record_load(backend_id, report, self.now))
 
     def note_waiting(self) -> None:
         """Note which classes had work open through the last bucket."""
--- a/src/godwitmast/platform/daemon.py
+++ b/src/godwitmast/platform/daemon.py
@@ -16,7 +16,7 @@
 from godwitmast.capacity.zonal import ZonalLimits
 from godwitmast.capacity.zonal_duty import ZonalDuty, sum_open_requests
 from godwitmast.clock import SystemClock
-from godwitmast.dispatch.retries import DividedBudgets
+from godwitmast.dispatch.retries import SharedRetryBudgets
 from godwitmast.entry.app import EntryApp, closing
 from godwitmast.entry.driver import RouterDriver
 from godwitmast.entry.intake import CallerGone
@@ -165,7 +165,7 @@
             tls=tls_without_authorities(),
         )
         self.front = RouteFront()
-        self.budgets = DividedBudgets(
+        self.budgets = SharedRetryBudgets(
             bounds.budget_slack, bounds.retry_budget_ratio * REPEATS_SHARE
         )
         self.driver = RouterDriver(settings.zone, self.clock, self.client, self.budgets)
@@ -421,7 +421,7 @@
         while True:
             await anyio.sleep(SETTINGS_EVERY_S)
             vms = self.count_vms()
-            self.budgets.divide(vms, self.clock.now())
+            self.budgets.set_router_count(vms, self.clock.now())
             self.driver.count_entries(vms)
             self.reload()
 
--- a/src/godwitmast/platform/front.py
+++ b/src/godwitmast/platform/front.py
@@ -15,7 +15,7 @@
     Refuse,
     RequestSpec,
 )
-from godwitmast.dispatch.placement import Part
+from godwitmast.dispatch.placement import PromptPart
 from godwitmast.entry.events import NumberedReader
 from godwitmast.entry.front import Incoming, Prepared, Reply
 from godwitmast.entry.intake import Envelope, Limits, carries_key, fingerprint
@@ -350,12 +350,12 @@
     return 0, 0
 
 
-def read_parts(text: str) -> tuple[Part, ...]:
+def read_parts(text: str) -> tuple[PromptPart, ...]:
     """Return the parts of a prompt; none if any of them cannot be read."""
     parts = []
     for item in text.split(","):
         part_id, _, tokens = item.strip().partition(":")
         if not part_id or not tokens.isdecimal():
             return ()
-        parts.append(Part(part_id, int(tokens)))
+        parts.append(PromptPart(part_id, int(tokens)))
     return tuple(parts)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -62,7 +62,7 @@
         request = self.admission.pop_next(POOL, self.now)
         assert request is not None
         self.now += hold_s / 2
-        self.admission.tokens_came(request, tokens, self.now)
+        self.admission.record_tokens(request, tokens, self.now)
         self.now += hold_s / 2
         self.admission.record_end(request, self.now, completed=True)
 
@@ -71,7 +71,7 @@
         self.offer(class_name, team)
         request = self.admission.pop_next(POOL, self.now)
         assert request is not None
-        self.admission.tokens_came(request, 1, self.now)
+        self.admission.record_tokens(request, 1, self.now)
         return request
 
 
@@ -124,7 +124,7 @@
 ) -> None:
     long = harness.begin("draft", "arima")
     harness.begin("draft", "couva")
-    harness.admission.tokens_came(long, 2000, harness.now)
+    harness.admission.record_tokens(long, 2000, harness.now)
     harness.offer("draft", "arima")
     couva = [harness.offer("draft", "couva") for _ in range(3)]
     assert [harness.next() for _ in range(3)] == couva
@@ -142,7 +142,7 @@
         AdmissionHarness(Admission(document)),
     )
     request = there.begin("draft")
-    there.admission.tokens_came(request, 5000, 0.0)
+    there.admission.record_tokens(request, 5000, 0.0)
     here.offer("draft", "arima")
     couva = [here.offer("draft", "couva") for _ in range(2)]
     for report in there.admission.pop_service_reports():
@@ -272,7 +272,7 @@
         assert preemption is not None
         harness.admission.record_end(preemption.request, harness.now, completed=False)
         assert harness.next() == draft.request_id
-        harness.admission.tokens_came(draft, 1, harness.now)
+        harness.admission.record_tokens(draft, 1, harness.now)
     harness.offer("question")
     assert harness.admission.preempt(POOL, harness.now + 1.0) is None
 
@@ -284,7 +284,7 @@
     harness.offer("draft", **more)
     request = harness.admission.pop_next(POOL, harness.now)
     assert request is not None
-    harness.admission.tokens_came(request, 1, harness.now)
+    harness.admission.record_tokens(request, 1, harness.now)
     harness.offer("question")
     assert harness.admission.preempt(POOL, harness.now + 1.0) is None
 
--- a/tests/test_admission_model.py
+++ b/tests/test_admission_model.py
@@ -138,7 +138,7 @@
         start = self.pick(number)
         if start is not None:
             ids = (start.request_id, start.attempt_id)
-            self.act(self.router.tokens_came(*ids, 1 + number % 90, self.now))
+            self.act(self.router.record_tokens(*ids, 1 + number % 90, self.now))
 
     def finish(self, number: int) -> None:
         start = self.pick(number)
@@ -146,7 +146,7 @@
             del self.active[start.request_id]
             self.outcomes[start.request_id].append("answered")
             ids = (start.request_id, start.attempt_id)
-            self.act(self.router.finished(*ids, self.now))
+            self.act(self.router.record_completion(*ids, self.now))
 
     def fail(self, number: int) -> None:
         start = self.pick(number)
@@ -156,7 +156,7 @@
             kind = kinds[number % 3]
             self.unsent[start.request_id] += kind is FailureKind.CONNECT
             ids = (start.request_id, start.attempt_id)
-            self.act(self.router.failed(*ids, kind, self.now))
+            self.act(self.router.record_failure(*ids, kind, self.now))
 
     def hang_up(self, number: int) -> None:
         open_ids = [i for i, ends in self.outcomes.items() if not ends]
@@ -164,7 +164,7 @@
             request_id = open_ids[number % len(open_ids)]
             self.outcomes[request_id].append("gone")
             reason = CancelReason.CALLER_GONE
-            self.act(self.router.withdraw(request_id, reason, self.now))
+            self.act(self.router.cancel_request(request_id, reason, self.now))
 
     def wait(self, number: int) -> None:
         for _ in range(1 + number % 8):
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -83,11 +83,11 @@
     one was allowed, and a fourth and fifth followed.
     """
     first = submit(router, attempts=2)
-    router.failed(first.request_id, first.attempt_id, FailureKind.CUT, 0.1)
+    router.record_failure(first.request_id, first.attempt_id, FailureKind.CUT, 0.1)
     second = next_start(router, 0.1)
     assert isinstance(second, Start) and second.backend_id != first.backend_id
     assert not router.move_streams_off(second.backend_id, CancelReason.SLOW, 1.0)
-    [refusal] = router.failed("r", second.attempt_id, FailureKind.CUT, 1.2)
+    [refusal] = router.record_failure("r", second.attempt_id, FailureKind.CUT, 1.2)
     assert isinstance(refusal, Refuse)
     assert refusal.code is RefusalCode.BACKEND_FAILED
 
@@ -95,11 +95,11 @@
 def test_attempt_that_did_not_run_does_not_count(router: Router) -> None:
     start = submit(router, attempts=1)
     for now in (0.1, 0.3):
-        router.failed("r", start.attempt_id, FailureKind.REFUSED, now)
+        router.record_failure("r", start.attempt_id, FailureKind.REFUSED, now)
         again = next_start(router, now)
         assert isinstance(again, Start)
         start = again
-    [refusal] = router.failed("r", start.attempt_id, FailureKind.CUT, 0.6)
+    [refusal] = router.record_failure("r", start.attempt_id, FailureKind.CUT, 0.6)
     assert isinstance(refusal, Refuse)
 
 
@@ -114,8 +114,8 @@
     for number in range(20):
         for start in router.submit(request(f"w{number}"), 0.0):
             assert isinstance(start, Start)
-            router.tokens_came(start.request_id, start.attempt_id, 1, 0.05)
-            router.finished(start.request_id, start.attempt_id, 0.06)
+            router.record_tokens(start.request_id, start.attempt_id, 1, 0.05)
+            router.record_completion(start.request_id, start.attempt_id, 0.06)
     start = submit(router, attempts=2)
     for tenth in range(1, 12):
         assert not router.tick(tenth / 10)
@@ -129,7 +129,7 @@
     server = BackendSpec(BackendId("s0"), ZoneName("a"), frozenset(["lm"]), places=1)
     router.update_backends([server], 0.0)
     start = started(router, request("d", "draft", attempts=attempts))
-    router.tokens_came(start.request_id, start.attempt_id, 1, 0.1)
+    router.record_tokens(start.request_id, start.attempt_id, 1, 0.1)
     return start
 
 
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -10,19 +10,19 @@
 
 from godwitmast.dispatch.affinity import PrefixOrders, rendezvous, within_bound
 from godwitmast.dispatch.backends import BackendTable
-from godwitmast.dispatch.census import COUNT_RETENTION_S
 from godwitmast.dispatch.health import Condition, may_eject
 from godwitmast.dispatch.limits import MIN_LIMIT, START_LIMIT, ServerLimit
-from godwitmast.dispatch.loads import HALF_LIFE_S, OtherLoad
 from godwitmast.dispatch.messages import BackendSpec, LoadReport, RequestSpec
+from godwitmast.dispatch.other_load import HALF_LIFE_S, OtherLoad
 from godwitmast.dispatch.retries import (
     BUDGET_CAPACITY,
-    DividedBudgets,
     RetryBudget,
     RetryBudgets,
     RetryQueue,
+    SharedRetryBudgets,
     backoff_s,
 )
+from godwitmast.dispatch.router_count import COUNT_RETENTION_S
 from godwitmast.types import BackendId, PoolName, RequestId, ZoneName
 
 POOL = "godwit-lm"
@@ -319,35 +319,35 @@
 ) -> None:
     """Every VM loses the same servers in one second, and spends its whole share."""
     allowance = 430.0
-    fleet = [DividedBudgets(allowance, 0.1) for _ in range(routers)]
+    fleet = [SharedRetryBudgets(allowance, 0.1) for _ in range(routers)]
     for budgets in fleet:
-        budgets.divide(routers, 0.0)
+        budgets.set_router_count(routers, 0.0)
     assert sum(spend(budgets) for budgets in fleet) <= allowance
 
 
 def test_shares_of_partitioned_routers_are_not_redistributed_for_a_while() -> None:
     """A zone is partitioned: its VMs are no longer counted, and spend what they had."""
-    budgets = DividedBudgets(600.0, 0.1)
-    budgets.divide(100, 0.0)
-    budgets.divide(80, 1.0)
+    budgets = SharedRetryBudgets(600.0, 0.1)
+    budgets.set_router_count(100, 0.0)
+    budgets.set_router_count(80, 1.0)
     assert budgets.for_pool(POOL).capacity == pytest.approx(600.0 / 100 * 3 / 4)
-    budgets.divide(100, 10.0)
-    budgets.divide(80, 10.0 + COUNT_RETENTION_S)
+    budgets.set_router_count(100, 10.0)
+    budgets.set_router_count(80, 10.0 + COUNT_RETENTION_S)
     assert budgets.for_pool(POOL).capacity == pytest.approx(600.0 / 80 * 3 / 4)
 
 
 def test_router_without_a_count_spends_few_retries() -> None:
     """Hundreds of VMs start at once, and none has counted the others yet."""
-    budgets = DividedBudgets(430.0, 0.1)
-    budgets.divide(0, 0.0)
+    budgets = SharedRetryBudgets(430.0, 0.1)
+    budgets.set_router_count(0, 0.0)
     assert spend(budgets) <= 430.0 / 60
-    budgets.divide(300, 1.0)
+    budgets.set_router_count(300, 1.0)
     assert budgets.for_pool(POOL).remaining <= budgets.capacity
 
 
 def test_additional_routers_lower_the_remaining_retries_of_each() -> None:
-    budgets = DividedBudgets(430.0, 0.1)
-    budgets.divide(100, 0.0)
+    budgets = SharedRetryBudgets(430.0, 0.1)
+    budgets.set_router_count(100, 0.0)
     budget = budgets.for_pool(POOL)
-    budgets.divide(200, 1.0)
+    budgets.set_router_count(200, 1.0)
     assert budget.remaining == budget.capacity == pytest.approx(430.0 / 200 * 3 / 4)
--- a/tests/test_dispatch_entry.py
+++ b/tests/test_dispatch_entry.py
@@ -38,11 +38,13 @@
 
 def engines_with_tokens(system: DevSystem) -> list[StandinEngine]:
     """Return the engines from which the entry has forwarded tokens."""
-    book = system.entries[0].driver.router.book
+    active_requests = system.entries[0].driver.router.active_requests
     return [
         engine
         for engine in system.engines
-        if any(flight.tokens for flight in book.on(engine.settings.name))
+        if any(
+            active.tokens for active in active_requests.on_server(engine.settings.name)
+        )
     ]
 
 
--- a/tests/test_dispatch_poison.py
+++ b/tests/test_dispatch_poison.py
@@ -25,10 +25,10 @@
     assert guard.record_crash(ONE, in_flight("bad", "a", "b"), 10.0) == []
     guard.record_start("bad", TWO, 11.0)
     assert guard.record_crash(TWO, in_flight("bad", "new"), 11.1) == ["bad"]
-    assert guard.quarantine_left("bad", 12.0) == pytest.approx(QUARANTINE_S - 0.9)
+    assert guard.quarantine_left_s("bad", 12.0) == pytest.approx(QUARANTINE_S - 0.9)
     for innocent in ("a", "b", "new"):
-        assert guard.quarantine_left(innocent, 12.0) is None
-    assert guard.quarantine_left("bad", 11.1 + QUARANTINE_S) is None
+        assert guard.quarantine_left_s(innocent, 12.0) is None
+    assert guard.quarantine_left_s("bad", 11.1 + QUARANTINE_S) is None
 
 
 def test_suspect_on_probation_excludes_other_suspects_and_its_own_copies() -> None:
@@ -70,7 +70,7 @@
             server, in_flight(f"stream-{number}", *extra), 10 + number / 10
         )
     assert not any(guard.is_suspect(f"stream-{n}") for n in range(OUTAGE_SERVERS))
-    assert guard.quarantine_left("both", 11.0) is not None
+    assert guard.quarantine_left_s("both", 11.0) is not None
 
 
 def test_peer_refuses_a_resent_request_that_another_entry_suspects() -> None:
@@ -82,10 +82,10 @@
     here.apply_updates(there.pop_updates(), 10.6)
     assert here.has_running_copy("bad")
     assert there.record_crash(TWO, in_flight("bad"), 510.7) == ["bad"]
-    news = there.pop_updates()
-    assert Quarantine("bad", QUARANTINE_S) in news
-    assert here.apply_updates(news, 10.8) == ["bad"]
-    assert here.quarantine_left("bad", 11.0) is not None
+    updates = there.pop_updates()
+    assert Quarantine("bad", QUARANTINE_S) in updates
+    assert here.apply_updates(updates, 10.8) == ["bad"]
+    assert here.quarantine_left_s("bad", 11.0) is not None
     assert not here.has_running_copy("bad")
 
 
--- a/tests/test_peers_entries.py
+++ b/tests/test_peers_entries.py
@@ -88,7 +88,7 @@
         with anyio.fail_after(10):
             await second.follower.ready.wait()
             first.driver.router.guard.quarantine("poison", 1e12)
-            first.driver.router.guard.news.append(Quarantine("poison", 600.0))
+            first.driver.router.guard.updates.append(Quarantine("poison", 600.0))
             first.driver.leaving = lambda: {"backend-x"}
             key = ServiceKey("arima", "question", MODEL)
             served = first.driver.router.admission.service_counter
@@ -99,7 +99,7 @@
             while second.peering.service.heard["a-1"][SEPARATOR.join(key)][1] < 60:
                 await anyio.sleep(0.02)
         now = second.clock.now()
-        assert second.driver.router.guard.quarantine_left("poison", now) > 590
+        assert second.driver.router.guard.quarantine_left_s("poison", now) > 590
         assert "backend-x" in second.driver.told_leaving
 
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from godwitmast.dispatch.placement import Part, PoolLoad, Prompt, PromptPlacement
+from godwitmast.dispatch.placement import PoolLoad, Prompt, PromptPart, PromptPlacement
 from godwitmast.types import BackendId, ClassName, ZoneName
 
 ZONE = ZoneName("a")
@@ -24,12 +24,16 @@
 
 
 def question(number: int) -> Prompt:
-    parts = (Part("tone", 210), Part(f"s{number}", 140), Part(f"q{number}", 1110))
+    parts = (
+        PromptPart("tone", 210),
+        PromptPart(f"s{number}", 140),
+        PromptPart(f"q{number}", 1110),
+    )
     return Prompt(ClassName("question"), 1460, parts)
 
 
 def summary(subject: int, number: int) -> Prompt:
-    parts = (Part(f"subject{subject}", 13_300), Part(f"n{number}", 3_720))
+    parts = (PromptPart(f"subject{subject}", 13_300), PromptPart(f"n{number}", 3_720))
     return Prompt(ClassName("summary"), 17_020, parts)
 
 
@@ -134,10 +138,10 @@
 
 
 def test_prompt_goes_to_the_least_loaded_where_nothing_is_shared(pool: Pool) -> None:
-    alone = Prompt(ClassName("x"), 5_000, (Part("a1", 5_000),))
+    alone = Prompt(ClassName("x"), 5_000, (PromptPart("a1", 5_000),))
     first = pool.place(0, alone, 0.0)
     pool.engines[first].running = 8
-    other = Prompt(ClassName("x"), 5_000, (Part("a2", 5_000),))
+    other = Prompt(ClassName("x"), 5_000, (PromptPart("a2", 5_000),))
     assert pool.place(0, other, 0.1) != first
 
 
@@ -234,13 +238,13 @@
 
 def test_short_shared_part_is_prefilled_rather_than_copied() -> None:
     placement = PromptPlacement()
-    parts = (Part("tone", 100), Part("own", 900))
+    parts = (PromptPart("tone", 100), PromptPart("own", 900))
     prompt = Prompt(ClassName("question"), 1000, parts)
     assert placement.copy_source(prompt, NAMES[0], NAMES, 1.0) is None
 
 
 def mark(number: int) -> Prompt:
-    parts = (Part("sheet", 300), Part(f"m{number}", 1_500))
+    parts = (PromptPart("sheet", 300), PromptPart(f"m{number}", 1_500))
     return Prompt(ClassName("mark"), 1_800, parts)
 
 
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -11,7 +11,7 @@
 from godwitmast.admission.controller import Admission
 from godwitmast.config.document import Document
 from godwitmast.config.parsing import parse_document
-from godwitmast.dispatch.flights import ActiveRequest
+from godwitmast.dispatch.active_requests import ActiveRequest
 from godwitmast.dispatch.messages import (
     Action,
     BackendSpec,
@@ -99,13 +99,13 @@
 
 def test_cut_stream_resumes_elsewhere_after_the_last_token(router: Router) -> None:
     first = started(router, request(1))
-    router.tokens_came(first.request_id, first.attempt_id, 5, 0.5)
-    router.failed(first.request_id, first.attempt_id, FailureKind.CUT, 0.6)
+    router.record_tokens(first.request_id, first.attempt_id, 5, 0.5)
+    router.record_failure(first.request_id, first.attempt_id, FailureKind.CUT, 0.6)
     _, second = run_until(router, 0.6, 2.0, is_start)
     assert second.resume_from == 5
     assert second.backend_id != first.backend_id
-    assert router.tokens_came(first.request_id, first.attempt_id, 9, 1.5) == []
-    assert router.book.by_id[first.request_id].tokens == 5
+    assert router.record_tokens(first.request_id, first.attempt_id, 9, 1.5) == []
+    assert router.active_requests.by_id[first.request_id].tokens == 5
 
 
 @pytest.mark.parametrize("kind", list(FailureKind))
@@ -119,7 +119,7 @@
     outcome.
     """
     first = started(router, request(1, pool=SERVICE, idempotent=False, resumable=False))
-    actions = router.failed(first.request_id, first.attempt_id, kind, 0.1)
+    actions = router.record_failure(first.request_id, first.attempt_id, kind, 0.1)
     if kind in (FailureKind.CONNECT, FailureKind.REFUSED):
         assert not actions
         run_until(router, 0.1, 2.0, is_start)
@@ -150,8 +150,8 @@
         start = started(router, request(number, arrived=now), now)
         for _ in range(10):
             now += 0.02
-            router.tokens_came(start.request_id, start.attempt_id, 1, now)
-        router.finished(start.request_id, start.attempt_id, now)
+            router.record_tokens(start.request_id, start.attempt_id, 1, now)
+        router.record_completion(start.request_id, start.attempt_id, now)
 
 
 def test_hung_attempt_is_moved_and_its_server_ejected(router: Router) -> None:
@@ -170,14 +170,14 @@
         now += 0.02
         for start in streams:
             if start.backend_id != hung:
-                router.tokens_came(start.request_id, start.attempt_id, 1, now)
+                router.record_tokens(start.request_id, start.attempt_id, 1, now)
         for action in router.tick(now):
             if isinstance(action, Cancel):
                 cancelled[action.request_id] = action
             elif isinstance(action, Start):
                 again[action.request_id] = action
         for start in again.values():
-            router.tokens_came(start.request_id, start.attempt_id, 1, now)
+            router.record_tokens(start.request_id, start.attempt_id, 1, now)
     assert cancelled.keys() == again.keys() == stuck.keys()
     assert {a.reason for a in cancelled.values()} == {CancelReason.SLOW}
     assert hung not in {start.backend_id for start in again.values()}
@@ -212,7 +212,7 @@
 
 def test_refused_connection_ejects_the_server_at_once(router: Router) -> None:
     first = started(router, request(1))
-    router.failed(first.request_id, first.attempt_id, FailureKind.CONNECT, 0.0)
+    router.record_failure(first.request_id, first.attempt_id, FailureKind.CONNECT, 0.0)
     others = [started(router, request(n)) for n in range(2, 20)]
     assert first.backend_id not in {start.backend_id for start in others}
 
@@ -231,7 +231,7 @@
         for start in [s for s in owners.values() if s.backend_id == bad.backend_id]:
             del owners[start.request_id]
             ids = (start.request_id, start.attempt_id)
-            for action in router.failed(*ids, FailureKind.CUT, now):
+            for action in router.record_failure(*ids, FailureKind.CUT, now):
                 refused_poison(action)
         bad = None
         for _ in range(60):
@@ -247,9 +247,9 @@
     assert only(again, Refuse).code is RefusalCode.QUARANTINED
     assert only(again, Refuse).not_run is NotRun.TRUE
     for start in owners.values():
-        router.tokens_came(start.request_id, start.attempt_id, 1, now + 5)
-        router.finished(start.request_id, start.attempt_id, now + 5)
-    assert len(router.book.by_id) + len(owners) <= len(innocent)
+        router.record_tokens(start.request_id, start.attempt_id, 1, now + 5)
+        router.record_completion(start.request_id, start.attempt_id, now + 5)
+    assert len(router.active_requests.by_id) + len(owners) <= len(innocent)
 
 
 def refused_poison(action: Action) -> None:
@@ -272,15 +272,17 @@
 ) -> None:
     router.budgets.for_pool(POOL).remaining = 0.5
     first = started(router, request(1))
-    actions = router.failed(first.request_id, first.attempt_id, FailureKind.ERROR, 0.1)
+    actions = router.record_failure(
+        first.request_id, first.attempt_id, FailureKind.ERROR, 0.1
+    )
     assert only(actions, Refuse).retry_after_s
     for number in range(2, 12):
         start = started(router, request(number))
-        router.finished(start.request_id, start.attempt_id, 0.2)
+        router.record_completion(start.request_id, start.attempt_id, 0.2)
     assert 1 <= router.budgets.for_pool(POOL).remaining < BUDGET_CAPACITY
     second = started(router, request(20))
     ids = (second.request_id, second.attempt_id)
-    assert not router.failed(*ids, FailureKind.ERROR, 0.3)
+    assert not router.record_failure(*ids, FailureKind.ERROR, 0.3)
 
 
 def test_failing_pool_uses_no_retries_of_another(router: Router) -> None:
@@ -289,10 +291,12 @@
     router.budgets.for_pool(SERVICE).remaining = 0.0
     first = started(router, request(1, pool=SERVICE))
     ids = (first.request_id, first.attempt_id)
-    assert only(router.failed(*ids, FailureKind.ERROR, 0.1), Refuse).retry_after_s
+    assert only(
+        router.record_failure(*ids, FailureKind.ERROR, 0.1), Refuse
+    ).retry_after_s
     second = started(router, request(2))
     ids = (second.request_id, second.attempt_id)
-    assert not router.failed(*ids, FailureKind.ERROR, 0.1)
+    assert not router.record_failure(*ids, FailureKind.ERROR, 0.1)
 
 
 def test_refused_connection_spends_no_retry(router: Router) -> None:
@@ -304,10 +308,12 @@
     """
     router.budgets.for_pool(POOL).remaining = 0.0
     first = started(router, request(1))
-    assert not router.failed("r1", first.attempt_id, FailureKind.CONNECT, 0.3)
+    assert not router.record_failure("r1", first.attempt_id, FailureKind.CONNECT, 0.3)
     now, second = run_until(router, 0.3, 0.5, is_start)
     assert second.backend_id != first.backend_id
-    refusal = only(router.failed("r1", second.attempt_id, FailureKind.CUT, now), Refuse)
+    refusal = only(
+        router.record_failure("r1", second.attempt_id, FailureKind.CUT, now), Refuse
+    )
     assert refusal.code is RefusalCode.BACKEND_FAILED
 
 
@@ -324,7 +330,7 @@
     draft = request(1, class_name="draft", arrived=2.0)
     probe = started(router, draft, 2.0)
     assert probe.backend_id in names[1:]
-    router.failed("r1", probe.attempt_id, FailureKind.CONNECT, 2.3)
+    router.record_failure("r1", probe.attempt_id, FailureKind.CONNECT, 2.3)
     _, second = run_until(router, 2.3, 2.6, is_start)
     assert second.backend_id == names[0]
 
@@ -335,7 +341,7 @@
     start, now, tries = started(router, request(1)), 0.1, 1
     while True:
         ids = (start.request_id, start.attempt_id)
-        actions = router.failed(*ids, FailureKind.ERROR, now)
+        actions = router.record_failure(*ids, FailureKind.ERROR, now)
         if actions:
             break
         now, start = run_until(router, now, now + 10, is_start)
@@ -398,25 +404,29 @@
         match event:
             case "token":
                 self.ran.add(request_id)
-                self.apply_actions(router.tokens_came(request_id, attempt_id, 1, now))
+                self.apply_actions(router.record_tokens(request_id, attempt_id, 1, now))
             case "finish":
                 del self.owner[request_id]
                 self.open.remove(request_id)
-                self.apply_actions(router.finished(request_id, attempt_id, now))
+                self.apply_actions(
+                    router.record_completion(request_id, attempt_id, now)
+                )
             case "withdraw":
                 self.open.remove(request_id)
                 reason = CancelReason.CALLER_GONE
-                self.apply_actions(router.withdraw(request_id, reason, now))
+                self.apply_actions(router.cancel_request(request_id, reason, now))
             case _:
                 del self.owner[request_id]
                 if event not in (FailureKind.CONNECT, FailureKind.REFUSED):
                     self.ran.add(request_id)
                 else:
                     self.runs[request_id] -= 1
-                self.apply_actions(router.failed(request_id, attempt_id, event, now))
+                self.apply_actions(
+                    router.record_failure(request_id, attempt_id, event, now)
+                )
 
     def check(self) -> None:
-        book, states = self.router.book, self.router.backends.states
+        book, states = self.router.active_requests, self.router.backends.states
         assert set(book.by_id) == self.open
         for name, state in states.items():
             assert state.in_flight == len(book.by_server.get(name, {}))
@@ -478,10 +488,10 @@
 class Forgetful(Admission):
     """Lets any stream be preempted, whatever its route allows."""
 
-    def tokens_came(
+    def record_tokens(
         self, request: RequestSpec, count: int, now: float, may_move: bool = True
     ) -> None:
-        super().tokens_came(request, count, now)
+        super().record_tokens(request, count, now)
 
 
 class Careless(Router):
@@ -559,18 +569,18 @@
     cut = {name for name, start in running.items() if start.backend_id == crashed}
     for name in cut:
         start = running.pop(name)
-        note(router.failed(name, start.attempt_id, FailureKind.CUT, 0.1))
+        note(router.record_failure(name, start.attempt_id, FailureKind.CUT, 0.1))
     now, resumed = 0.1, {}
     while now < 12.0 and cut - resumed.keys():
         now += 0.05
         note(router.tick(now))
         resumed.update({n: now for n in cut & running.keys() if n not in resumed})
         for name in cut & running.keys():
-            note(router.tokens_came(name, running[name].attempt_id, 1, now))
+            note(router.record_tokens(name, running[name].attempt_id, 1, now))
         oldest = next((name for name in running if name not in cut), None)
         if oldest is not None:
             start = running.pop(oldest)
-            note(router.finished(oldest, start.attempt_id, now))
+            note(router.record_completion(oldest, start.attempt_id, now))
             submit(now)
     assert resumed.keys() == cut
     assert max(resumed.values()) < 8.0
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -142,7 +142,7 @@
         assert admission.offer(request, 0.0) == []
         if name is not waiting:
             assert admission.pop_next(request.pool, 0.0) == request
-            admission.tokens_came(request, 1, 0.0)
+            admission.record_tokens(request, 1, 0.0)
     for tick in range(100):
         preemption = admission.preempt(request.pool, tick * 0.05)
         if preemption is not None:
@@ -225,7 +225,7 @@
     running = prepare(front, DIGEST, "many").spec
     assert admission.offer(running, 0.0) == []
     assert admission.pop_next(running.pool, 0.0) == running
-    admission.tokens_came(running, 1, 0.0)
+    admission.record_tokens(running, 1, 0.0)
     waiting = prepare(front, DRAFT, "many").spec
     assert admission.offer(waiting, 0.0) == []
     urgent_at = admission.jobs[waiting.request_id].urgent_at
@@ -261,7 +261,7 @@
     for _ in engines:
         running = prepare(front, CHAT, "many").spec
         router.submit(running, 0.0)
-        assert router.book.by_id[running.request_id].backend_id is not None
+        assert router.active_requests.by_id[running.request_id].backend_id is not None
     waiting = prepare(front, kind, "many").spec
     assert router.submit(waiting, 0.1) == []
     actions = [action for tick in range(2, 400) for action in router.tick(tick * 0.05)]
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -8,7 +8,6 @@
 
 from godwitmast.config.document import Document
 from godwitmast.config.parsing import parse_document
-from godwitmast.dispatch.census import RouterCount
 from godwitmast.dispatch.messages import (
     BackendSpec,
     FailureKind,
@@ -16,6 +15,7 @@
     Start,
 )
 from godwitmast.dispatch.router import Router
+from godwitmast.dispatch.router_count import RouterCount
 from godwitmast.dispatch.warmup import (
     MAX_EXCESS_PROBABILITY,
     MAX_REPORTED_COLD_S,
@@ -60,9 +60,9 @@
 
     def simulate(self, advance: Callable[..., None] = Warmup.advance) -> None:
         rng = random.Random(self.seed)
-        period_s = RouterCount(self.counted or self.routers).most / safe_rate_per_s(
-            LIMIT
-        )
+        period_s = RouterCount(
+            self.counted or self.routers
+        ).upper_bound / safe_rate_per_s(LIMIT)
         warmups = [Warmup() for _ in range(self.routers)]
         learned_at = [rng.uniform(0.0, self.lag_s) for _ in warmups]
         ticks = [rng.uniform(0.0, STEP_S) for _ in warmups]
@@ -279,7 +279,9 @@
             for action in router.submit(request(number, 0.0), 0.0)
             if isinstance(action, Start)
         ]
-        router.failed(start.request_id, start.attempt_id, FailureKind.CONNECT, 0.01)
+        router.record_failure(
+            start.request_id, start.attempt_id, FailureKind.CONNECT, 0.01
+        )
     for step in range(1, 60):
         now = step * STEP_S
         starts += [
