--- a/src/godwitmast/backends/client.py
+++ b/src/godwitmast/backends/client.py
@@ -29,25 +29,25 @@
         self.detail = detail
 
 
-class BackendWire(Protocol):
-    """Reads what backend servers report in response headers."""
+class BackendHeaderParser(Protocol):
+    """Parses what backend servers report in response headers."""
 
-    def said_not_run(self, answer: httpx.Response) -> bool:
+    def reports_not_run(self, answer: httpx.Response) -> bool:
         """Return whether the server reported that it did not run the request, and will
         not."""
 
-    def read_load(self, answer: httpx.Response) -> LoadReport | None:
+    def parse_load(self, answer: httpx.Response) -> LoadReport | None:
         """Return the load report of the response, if it has one."""
 
 
-class EngineWire:
-    """The response headers of this project's own backend server interface."""
+class EngineHeaderParser:
+    """Parses the response headers of this project's own backend server interface."""
 
-    def said_not_run(self, answer: httpx.Response) -> bool:
+    def reports_not_run(self, answer: httpx.Response) -> bool:
         return NOT_RUN_HEADER in answer.headers
 
-    def read_load(self, answer: httpx.Response) -> LoadReport | None:
-        return read_load(answer)
+    def parse_load(self, answer: httpx.Response) -> LoadReport | None:
+        return parse_load(answer)
 
 
 class BackendClient:
@@ -56,11 +56,11 @@
     def __init__(
         self,
         read_timeout_s: float = READ_TIMEOUT_S,
-        wire: BackendWire | None = None,
+        header_parser: BackendHeaderParser | None = None,
         socket_options: SocketOptions = (),
         tls: ssl.SSLContext | None = None,
     ) -> None:
-        self.wire = wire or EngineWire()
+        self.header_parser = header_parser or EngineHeaderParser()
         limits = httpx.Limits(max_connections=None, max_keepalive_connections=512)
         self.http = httpx.AsyncClient(
             timeout=httpx.Timeout(read_timeout_s, connect=CONNECT_TIMEOUT_S),
@@ -107,7 +107,7 @@
         try:
             answer = await self.http.send(request, stream=True)
             try:
-                if self.wire.said_not_run(answer):
+                if self.header_parser.reports_not_run(answer):
                     detail = f"status {answer.status_code}"
                     raise AttemptFailed(FailureKind.REFUSED, detail)
                 yield answer
@@ -128,7 +128,7 @@
             return None
 
 
-def read_load(answer: httpx.Response) -> LoadReport | None:
+def parse_load(answer: httpx.Response) -> LoadReport | None:
     """Return the load report of the header `Engine-Load: 3;1`, if there is one.
 
     The numbers are the requests that the server runs and those that wait inside it,
--- a/src/godwitmast/entry/exchange.py
+++ b/src/godwitmast/entry/exchange.py
@@ -355,7 +355,11 @@
                     FailureKind.CUT, "the answer belongs to another request"
                 )
             self.reached_backend = True
-            load = self.client.wire.read_load(answer) if outbound.reports_load else None
+            load = (
+                self.client.header_parser.parse_load(answer)
+                if outbound.reports_load
+                else None
+            )
             if load is not None:
                 self.driver.load_reported(start.backend_id, load)
             if answer.status_code >= 500 and outbound.errors is not ErrorPolicy.ANSWER:
--- a/src/godwitmast/platform/daemon.py
+++ b/src/godwitmast/platform/daemon.py
@@ -32,7 +32,7 @@
     read_evacuations,
     read_servers,
 )
-from godwitmast.platform.front import ReplicaWire, RouteFront
+from godwitmast.platform.front import ReplicaHeaderParser, RouteFront
 from godwitmast.platform.settings import BoundsTable, PlatformFile
 from godwitmast.platform.store import StoreClient
 from godwitmast.platform.wire import (
@@ -160,7 +160,7 @@
         self.true_time = AgreedClock(self.clock)
         self.store = StoreClient(settings, self.true_time.update_store_time)
         self.client = BackendClient(
-            wire=ReplicaWire(),
+            header_parser=ReplicaHeaderParser(),
             socket_options=DEAD_PEER_OPTIONS,
             tls=tls_without_authorities(),
         )
--- a/src/godwitmast/platform/front.py
+++ b/src/godwitmast/platform/front.py
@@ -131,10 +131,10 @@
         return None
 
 
-class ReplicaWire:
+class ReplicaHeaderParser:
     """What the platform's backend servers say in the head of an answer."""
 
-    def said_not_run(self, answer: httpx.Response) -> bool:
+    def reports_not_run(self, answer: httpx.Response) -> bool:
         """Return whether the server did not run the request, and never will.
 
         A server at a reused address, or a new start of the one that was meant, says so
@@ -142,7 +142,7 @@
         """
         return NOT_EXECUTED in answer.headers or answer.status_code == 421
 
-    def read_load(self, answer: httpx.Response) -> LoadReport | None:
+    def parse_load(self, answer: httpx.Response) -> LoadReport | None:
         """Return running and waiting requests; the number of places comes third."""
         parts = answer.headers.get(SERVER_LOAD, "").split(",")
         if len(parts) < 2 or not (parts[0].isdecimal() and parts[1].isdecimal()):
