--- a/benchmarks/coordination_cost.py
+++ b/benchmarks/coordination_cost.py
@@ -33,7 +33,7 @@
     dev_document,
     dev_key,
 )
-from godwitmast.keys.hashing import hash_key, new_key  # noqa: E402
+from godwitmast.keys.hashing import generate_key, hash_key  # noqa: E402
 from godwitmast.platform_api.client import PlatformClient  # noqa: E402
 from godwitmast.settings import PlatformSettings  # noqa: E402
 from processes import Process, Processes, free_port  # noqa: E402
@@ -139,7 +139,7 @@
     async with PlatformClient(PlatformSettings(bench.platform.url), "ctl") as client:
         session = Session(client)
         for number in range(rounds):
-            key = new_key()
+            key = generate_key()
             grant = {"team": "arima", "default_class": "question"}
             body = {"keys": {hash_key(key): grant}}
             granted = await session.edit(lambda document, b=body: b, "grant")
--- a/src/godwitmast/ctl/cli.py
+++ b/src/godwitmast/ctl/cli.py
@@ -23,7 +23,7 @@
 from godwitmast.ctl.session import CommandFailed, Edit, Session, Waited, new_patch
 from godwitmast.daemons import EXIT_FAILED, EXIT_USAGE
 from godwitmast.errors import ConfigInvalid, PlatformError
-from godwitmast.keys.hashing import KEY_PREFIX, hash_key, new_key
+from godwitmast.keys.hashing import KEY_PREFIX, generate_key, hash_key
 from godwitmast.platform_api.client import PlatformClient
 from godwitmast.program import VersionOption
 from godwitmast.settings import PlatformSettings
@@ -233,7 +233,7 @@
     platform: PlatformOption = DEFAULT_PLATFORM,
 ) -> None:
     """Grant a new key to a team and print it; it is shown this once."""
-    key = new_key()
+    key = generate_key()
     entry = {
         "team": team,
         "default_class": default_class,
--- a/src/godwitmast/entry/app.py
+++ b/src/godwitmast/entry/app.py
@@ -61,7 +61,7 @@
         self.list_peers: Callable[[], list[str]] = list
         self.exchanges: dict[RequestId, Exchange] = {}
         self.ready_checks: list[Callable[[], bool]] = []
-        self.cut_off_s: Callable[[], float] = lambda: 0.0
+        self.seconds_since_contact: Callable[[], float] = lambda: 0.0
         self.ends_withdrawn = True
         """Whether an open stream is ended when its key is withdrawn."""
 
@@ -96,10 +96,10 @@
         """End streams whose key is withdrawn, expired or past the offline grace."""
         if not self.ends_withdrawn:
             return
-        wall, cut_off_s = self.clock.wall(), self.cut_off_s()
+        wall, offline_s = self.clock.wall(), self.seconds_since_contact()
         for exchange in list(self.exchanges.values()):
             caller = exchange.caller
-            if caller and not still_granted(self.document, caller, wall, cut_off_s):
+            if caller and not still_granted(self.document, caller, wall, offline_s):
                 exchange.abort(CancelReason.KEY_WITHDRAWN)
 
     @property
@@ -177,7 +177,7 @@
         envelope = self.front.open(scope)
         if isinstance(envelope, ErrorAnswer):
             return envelope
-        caller = self.front.identify(envelope, self.cut_off_s())
+        caller = self.front.authenticate(envelope, self.seconds_since_contact())
         if isinstance(caller, ErrorAnswer):
             return caller
         if caller is not None and caller.key_hash in self.withdrawn:
--- a/src/godwitmast/entry/daemon.py
+++ b/src/godwitmast/entry/daemon.py
@@ -91,7 +91,7 @@
 
     async def run_key_checks(self) -> None:
         """End streams whose key expires or whose team's offline grace is exceeded."""
-        self.app.cut_off_s = self.follower.seconds_since_contact
+        self.app.seconds_since_contact = self.follower.seconds_since_contact
         while True:
             await anyio.sleep(KEY_CHECK_INTERVAL_S)
             if self.peering and self.peering.is_linked_to_other_zone():
--- a/src/godwitmast/entry/front.py
+++ b/src/godwitmast/entry/front.py
@@ -53,8 +53,8 @@
     def open(self, scope: Scope) -> Envelope | ErrorAnswer:
         """Return the head of a request, or the error to answer with."""
 
-    def identify(
-        self, envelope: Envelope, cut_off_s: float
+    def authenticate(
+        self, envelope: Envelope, offline_s: float
     ) -> Caller | ErrorAnswer | None:
         """Return the caller, or None where no key is required."""
 
--- a/src/godwitmast/entry/openai.py
+++ b/src/godwitmast/entry/openai.py
@@ -28,7 +28,13 @@
     send_error,
 )
 from godwitmast.http_server import Scope, Send
-from godwitmast.keys.authorizer import Caller, Denial, choose_class, identify, may_use
+from godwitmast.keys.authorizer import (
+    Caller,
+    Denial,
+    authenticate,
+    choose_class,
+    may_use,
+)
 from godwitmast.types import ClassName, PoolName, RequestId, TeamName
 
 COMPLETION_PATHS = {"/v1/chat/completions": True, "/v1/completions": False}
@@ -64,9 +70,11 @@
     def open(self, scope: Scope) -> Envelope | ErrorAnswer:
         return open_envelope(scope)
 
-    def identify(self, envelope: Envelope, cut_off_s: float) -> Caller | ErrorAnswer:
+    def authenticate(
+        self, envelope: Envelope, offline_s: float
+    ) -> Caller | ErrorAnswer:
         wall = self.clock.wall()
-        caller = identify(self.document, envelope.key, wall, cut_off_s)
+        caller = authenticate(self.document, envelope.key, wall, offline_s)
         return answer_denial(caller) if isinstance(caller, Denial) else caller
 
     def answer_refusal(self, refusal: Refuse) -> ErrorAnswer:
--- a/src/godwitmast/entry/refusals.py
+++ b/src/godwitmast/entry/refusals.py
@@ -46,7 +46,7 @@
     Denial.MISSING: 401,
     Denial.UNKNOWN: 401,
     Denial.EXPIRED: 401,
-    Denial.CUT_OFF: 503,
+    Denial.OFFLINE: 503,
     Denial.CLASS: 403,
     Denial.MODEL: 403,
 }
@@ -55,7 +55,7 @@
     Denial.MISSING: "The request has no key.",
     Denial.UNKNOWN: "The key is unknown or was withdrawn.",
     Denial.EXPIRED: "The key has expired.",
-    Denial.CUT_OFF: "This availability zone is disconnected, and the team requires checked keys.",
+    Denial.OFFLINE: "This availability zone is disconnected, and the team requires checked keys.",
     Denial.CLASS: "This class does not exist, or the key does not allow it.",
     Denial.MODEL: "The key does not allow this model or service.",
 }
@@ -78,7 +78,7 @@
         STATUS_OF_DENIAL[denial],
         denial.value,
         MESSAGE_OF_DENIAL[denial],
-        retry_after_s=OFFLINE_RETRY_AFTER_S if denial is Denial.CUT_OFF else None,
+        retry_after_s=OFFLINE_RETRY_AFTER_S if denial is Denial.OFFLINE else None,
     )
 
 
--- a/src/godwitmast/keys/authorizer.py
+++ b/src/godwitmast/keys/authorizer.py
@@ -16,7 +16,7 @@
     MISSING = "missing_key"
     UNKNOWN = "invalid_key"
     EXPIRED = "expired_key"
-    CUT_OFF = "key_not_checkable"
+    OFFLINE = "key_not_checkable"
     CLASS = "class_not_allowed"
     MODEL = "model_not_allowed"
 
@@ -34,12 +34,12 @@
         return self.grant.team
 
 
-def identify(
-    document: Document, key: str | None, wall: float, cut_off_s: float = 0.0
+def authenticate(
+    document: Document, key: str | None, wall: float, offline_s: float = 0.0
 ) -> Caller | Denial:
     """Return the caller with this key, or why the key is denied.
 
-    `cut_off_s` is the time for which no withdrawal could have reached this process.
+    `offline_s` is the time for which no withdrawal could have reached this process.
     """
     if not key:
         return Denial.MISSING
@@ -50,12 +50,12 @@
     if grant.expires_at is not None and grant.expires_at <= wall:
         return Denial.EXPIRED
     team = document.teams[grant.team]
-    if past_grace(team, cut_off_s):
-        return Denial.CUT_OFF
+    if exceeds_offline_grace(team, offline_s):
+        return Denial.OFFLINE
     return Caller(digest, grant, team)
 
 
-def past_grace(team: Team, cut_off_s: float) -> bool:
+def exceeds_offline_grace(team: Team, offline_s: float) -> bool:
     """Return whether the team's keys are refused after this time without contact.
 
     A disconnected availability zone doesn't receive withdrawals of keys. Being refused
@@ -64,17 +64,17 @@
     """
     # Even a connected process had its last contact up to one pull ago.
     grace = team.offline_grace_s
-    return grace is not None and cut_off_s > grace + CONTACT_EVERY_S
+    return grace is not None and offline_s > grace + CONTACT_EVERY_S
 
 
 def still_granted(
-    document: Document, caller: Caller, wall: float, cut_off_s: float = 0.0
+    document: Document, caller: Caller, wall: float, offline_s: float = 0.0
 ) -> bool:
     """Return whether `document` still allows an open stream's key."""
     grant = document.keys.get(caller.key_hash)
     if grant is None or grant.team != caller.grant.team:
         return False
-    if past_grace(document.teams[grant.team], cut_off_s):
+    if exceeds_offline_grace(document.teams[grant.team], offline_s):
         return False
     return grant.expires_at is None or grant.expires_at > wall
 
--- a/src/godwitmast/keys/hashing.py
+++ b/src/godwitmast/keys/hashing.py
@@ -6,7 +6,7 @@
 KEY_PREFIX = "gw-"
 
 
-def new_key() -> str:
+def generate_key() -> str:
     """Return a random key, which is shown to its owner once and never stored."""
     return KEY_PREFIX + secrets.token_urlsafe(32)
 
--- a/src/godwitmast/platform/front.py
+++ b/src/godwitmast/platform/front.py
@@ -34,7 +34,7 @@
     send_whole,
 )
 from godwitmast.http_server import Scope, Send
-from godwitmast.keys.authorizer import Caller, Denial, identify
+from godwitmast.keys.authorizer import Caller, Denial, authenticate
 from godwitmast.platform.catalog import Catalog, engine_priority, with_rank
 from godwitmast.platform.wire import (
     ATTEMPT_ID,
@@ -211,8 +211,8 @@
     def find_route(self, envelope: Envelope) -> Route | None:
         return self.known.routes.match(envelope.host, envelope.raw_path)
 
-    def identify(
-        self, envelope: Envelope, cut_off_s: float
+    def authenticate(
+        self, envelope: Envelope, offline_s: float
     ) -> Caller | ErrorAnswer | None:
         """Return who calls; a zone that is cut off goes on with the keys it has."""
         route = self.find_route(envelope)
@@ -220,7 +220,7 @@
             return UNKNOWN_ROUTE
         if route.public:
             return None
-        caller = identify(self.document, envelope.key, 0.0)
+        caller = authenticate(self.document, envelope.key, 0.0)
         return answer_denial(caller) if isinstance(caller, Denial) else caller
 
     def prepare(self, incoming: Incoming) -> Prepared | Reply | ErrorAnswer:
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -66,7 +66,7 @@
         await put(system, team={"offline_grace_s": 30.0})
         url = f"{system.entries[0].server.url}/services/{SERVICE}/gifts"
         assert (await http.get(url, headers=BEARER)).status_code == 200
-        system.entries[0].app.cut_off_s = lambda: 60.0
+        system.entries[0].app.seconds_since_contact = lambda: 60.0
         refused = await http.get(url, headers=BEARER)
         assert refused.status_code == 503
         assert refused.json()["error"]["code"] == "key_not_checkable"
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -49,7 +49,7 @@
     key = f"key-of-{team}"
     path = f"/{kind}/x"
     envelope = Envelope("POST", path, path, "", [], key, None, 60.0, None, "a", HOST)
-    caller = front.identify(envelope, 0.0)
+    caller = front.authenticate(envelope, 0.0)
     assert isinstance(caller, Caller)
     prepared = front.prepare(Incoming(envelope, caller, b"", 0.0))
     assert isinstance(prepared, Prepared)
