--- a/src/godwitmast/entry/gossip.py
+++ b/src/godwitmast/entry/gossip.py
@@ -103,7 +103,7 @@
         self.unpublished_reports = {}
         if entries:
             left_s = RECORD_TTL_PERIODS * period
-            self.peers.tell(Topic.LOAD, self.peers.node, entries, left_s)
+            self.peers.publish_record(Topic.LOAD, self.peers.node, entries, left_s)
 
     @property
     def zone_nodes(self) -> list[str]:
@@ -196,7 +196,7 @@
                 for item in busiest
             }
             left_s = RECORD_TTL_PERIODS * period
-            self.peers.tell(Topic.SERVICE, self.peers.node, value, left_s)
+            self.peers.publish_record(Topic.SERVICE, self.peers.node, value, left_s)
 
     def apply_record(self, record: Record) -> None:
         """Count what a peer served since its last record.
@@ -257,7 +257,7 @@
             # one key the later record would replace the earlier one.
             key = f"{kind}/{news.fingerprint}/{self.peers.node}"
             value = {"kind": kind, "news": msgspec.to_builtins(news)}
-            self.peers.tell(topic, key, value, left_s)
+            self.peers.publish_record(topic, key, value, left_s)
 
     def apply_record(self, record: Record) -> None:
         router = self.router.router
@@ -302,7 +302,7 @@
 
     def publish_all(self, names: Iterable[str]) -> None:
         for name in sorted(names):
-            self.peers.tell(Topic.LEAVING_BACKEND, name, True, LEAVING_TTL_S)
+            self.peers.publish_record(Topic.LEAVING_BACKEND, name, True, LEAVING_TTL_S)
 
     def apply_record(self, record: Record) -> None:
         self.router.mark_leaving(BackendId(record.key), record.left_s)
--- a/src/godwitmast/entry/peering.py
+++ b/src/godwitmast/entry/peering.py
@@ -127,7 +127,7 @@
         add_peer_gauges(app.metrics.registry, self.driver)
         app.list_peers = self.listed
         if peer_settings.fault_hook:
-            app.fault_hook = self.driver.cut
+            app.fault_hook = self.driver.partition_zones
 
     async def start(self, tasks: TaskGroup) -> None:
         await self.driver.start(tasks)
@@ -157,7 +157,7 @@
         while True:
             try:
                 vms = await self.platform.vms()
-                self.driver.learn([KnownVm(vm.address, vm.node) for vm in vms])
+                self.driver.set_known_vms([KnownVm(vm.address, vm.node) for vm in vms])
             except PlatformError:
                 # The last list and the peers suffice while the platform is unavailable.
                 pass
@@ -190,7 +190,7 @@
         """Publish the withdrawn keys first, then push the configuration itself."""
         hashes = frozenset(config.document.keys)
         for key_hash in self.key_hashes - hashes:
-            self.driver.tell(
+            self.driver.publish_record(
                 Topic.WITHDRAWN_KEY, key_hash, None, WITHDRAWAL_TTL_S, config.version
             )
         self.key_hashes = hashes
--- a/src/godwitmast/load/peer_network.py
+++ b/src/godwitmast/load/peer_network.py
@@ -149,11 +149,11 @@
         """Give every node the platform's list."""
         listed = list(self.nodes if addresses is None else addresses)
         for fake in self.nodes.values():
-            fake.machine.learn_addresses([KnownVm(a) for a in listed], self.now)
+            fake.machine.set_known_vms([KnownVm(a) for a in listed], self.now)
 
     def know_all(self) -> None:
         """Start as a system that has run for a while: all know all."""
-        members = [fake.machine.me for fake in self.nodes.values()]
+        members = [fake.machine.own_member for fake in self.nodes.values()]
         for fake in self.nodes.values():
             for member in members:
                 if member.node != fake.machine.node:
@@ -222,7 +222,7 @@
         self.carry_out(address, fake)
 
     def carry_out(self, address: str, fake: FakeNode) -> None:
-        for output in fake.machine.take_outputs():
+        for output in fake.machine.pop_outputs():
             match output:
                 case Send(link_id, frame):
                     self.transmit(address, fake, link_id, frame)
--- a/src/godwitmast/load/peers.py
+++ b/src/godwitmast/load/peers.py
@@ -84,7 +84,7 @@
         left_s = RECORD_TTL_PERIODS * period
         network.act(
             address,
-            lambda m: m.tell(topic, m.node, value(), left_s, network.now),
+            lambda m: m.publish_record(topic, m.node, value(), left_s, network.now),
         )
         network.at(period, lambda: tell(topic, period, value))
 
--- a/src/godwitmast/peers/config_spread.py
+++ b/src/godwitmast/peers/config_gossip.py
@@ -10,7 +10,7 @@
 REQUEST_INTERVAL_S = 1.0
 
 
-class ConfigSpread:
+class ConfigGossip:
     """One node's exchange of the configuration with its linked peers."""
 
     def __init__(self, source: ConfigSource, rng: random.Random, now: float) -> None:
--- a/src/godwitmast/peers/driver.py
+++ b/src/godwitmast/peers/driver.py
@@ -102,7 +102,7 @@
         self.machine = PeerMachine(
             self.node, place, incarnation, self.config, now, timing=self.timing
         )
-        self.learn([])
+        self.set_known_vms([])
         for context in self.tls or ():
             tasks.start_soon(context.run)
         self.server = await serve(
@@ -142,11 +142,11 @@
 
     # Calls of the application.
 
-    def learn(self, vms: list[KnownVm]) -> None:
+    def set_known_vms(self, vms: list[KnownVm]) -> None:
         """Replace the platform's list of VMs; the seeds of the settings stay."""
         if self.machine is not None:
             seeds = [KnownVm(address) for address in self.settings.seeds]
-            self.machine.learn_addresses(seeds + vms, self.clock.now())
+            self.machine.set_known_vms(seeds + vms, self.clock.now())
 
     def config_changed(self) -> None:
         """Push the configuration that is now in force."""
@@ -154,7 +154,7 @@
             self.machine.config_changed(self.clock.now())
             self.apply_outputs()
 
-    def tell(
+    def publish_record(
         self,
         topic: Topic,
         key: str,
@@ -162,13 +162,13 @@
         left_s: float,
         version: int | None = None,
     ) -> None:
-        """Spread a record for `left_s` seconds; see `PeerMachine.tell`."""
+        """Spread a record for `left_s` seconds; see `PeerMachine.publish_record`."""
         if self.machine is not None:
             now = self.clock.now()
-            self.machine.tell(topic, key, value, left_s, now, version)
+            self.machine.publish_record(topic, key, value, left_s, now, version)
             self.apply_outputs()
 
-    def cut(self, zones: frozenset[str]) -> None:
+    def partition_zones(self, zones: frozenset[str]) -> None:
         """Drop every frame to and from nodes of `zones`, without closing a link."""
         self.partitioned_zones = zones
         log_event("peers_fault_hook", level="WARNING", cut=",".join(sorted(zones)))
@@ -177,7 +177,7 @@
 
     def apply_outputs(self) -> None:
         assert self.machine is not None, "links and ticks begin after the start"
-        for output in self.machine.take_outputs():
+        for output in self.machine.pop_outputs():
             self.apply_output(output)
 
     def apply_output(self, output: Output) -> None:
--- a/src/godwitmast/peers/machine.py
+++ b/src/godwitmast/peers/machine.py
@@ -1,14 +1,14 @@
 """State machine of one gossip peer: membership, overlay and records, without I/O.
 
-A driver calls it for each event, with the time, and then executes `take_outputs`. The
+A driver calls it for each event, with the time, and then executes `pop_outputs`. The
 daemon, the tests and the load models run the same class.
 """
 
 import random
 from dataclasses import dataclass, field
 
+from godwitmast.peers.config_gossip import ConfigGossip
 from godwitmast.peers.config_source import ConfigSource
-from godwitmast.peers.config_spread import ConfigSpread
 from godwitmast.peers.links import Link
 from godwitmast.peers.members import Member, MemberTable, parse_member
 from godwitmast.peers.messages import (
@@ -29,7 +29,7 @@
     Topic,
 )
 from godwitmast.peers.overlay import choose_neighbours
-from godwitmast.peers.reach import Reach
+from godwitmast.peers.reachability import Reachability
 from godwitmast.peers.records import RULES, Key, RecordStore
 from godwitmast.peers.rendezvous import short_hash
 from godwitmast.peers.timing import Timing
@@ -72,8 +72,8 @@
         self.random = random.Random(f"{self.seed}/{self.node}")
         self.outputs: list[Output] = []
         self.dialling: dict[str, float] = {}
-        self.reach = Reach(self.place, self.random, self.timing)
-        self.config_gossip = ConfigSpread(self.config, self.random, self.now)
+        self.reachability = Reachability(self.place, self.random, self.timing)
+        self.config_gossip = ConfigGossip(self.config, self.random, self.now)
         self.suspects: dict[str, float] = {}
         self.neighbours: set[str] = set()
         self.overlay_stale = True
@@ -85,14 +85,14 @@
         self.graft_requested_at = self.now
         self.received_from: dict[str, int] = {}
         self.started_ms = self.version_ms = self.incarnation
-        self.table.put(self.me, self.now)
+        self.table.put(self.own_member, self.now)
 
     @property
-    def me(self) -> Member:
+    def own_member(self) -> Member:
         state = MemberState.LEFT if self.leaving else MemberState.ALIVE
         return Member(self.node, self.place, self.incarnation, state)
 
-    def take_outputs(self) -> list[Output]:
+    def pop_outputs(self) -> list[Output]:
         """Return and clear the outputs that the driver must execute, in order."""
         taken, self.outputs = self.outputs, []
         return taken
@@ -108,13 +108,13 @@
 
     # Events reported by the driver.
 
-    def learn_addresses(self, vms: list[KnownVm], now: float) -> None:
+    def set_known_vms(self, vms: list[KnownVm], now: float) -> None:
         """Replace the addresses to dial, from the settings and the platform's VM list.
 
         The list may be minutes old, so it does not decide membership: a listed VM
         becomes a member only when it answers, and an unlisted member stays one.
         """
-        self.reach.set_known_vms(vms)
+        self.reachability.set_known_vms(vms)
 
     def link_opened(self, link_id: int, address: str | None, now: float) -> None:
         """Register a link; `address` is the dialled one, None for an accepted link."""
@@ -186,7 +186,7 @@
         self.compare_digests(link, frame.beat, now)
         self.push_all(now)
 
-    def tell(
+    def publish_record(
         self,
         topic: Topic,
         key: str,
@@ -215,7 +215,7 @@
     def leave(self, now: float) -> None:
         """Announce that this node leaves; call when it has stopped serving."""
         self.leaving = True
-        self.table.put(self.me, now)
+        self.table.put(self.own_member, now)
         record = self.table.record(self.node)
         assert record is not None, "a node is always in its own table"
         for link in list(self.links.values()):
@@ -284,7 +284,7 @@
     def accept_hello(self, link: Link, hello: Hello, now: float) -> bool:
         """Register a peer by its hello; return whether the link is kept."""
         if hello.node == self.node:
-            self.reach.addresses.discard(link.address or "")
+            self.reachability.addresses.discard(link.address or "")
             self.hang_up(link, "own address", now)
             return False
         if link.node is not None:
@@ -300,7 +300,7 @@
         link.zone = hello.place.zone
         link.incarnation = hello.incarnation
         self.by_node[hello.node] = link
-        self.reach.record_success(hello.node, hello.place.zone)
+        self.reachability.record_success(hello.node, hello.place.zone)
         member = Member(hello.node, hello.place, hello.incarnation)
         self.merge_member(member, None, now)
         known = self.table.members.get(hello.node)
@@ -369,7 +369,7 @@
             self.suspects[member.node] = now + self.timing.suspicion_s
         if member.state is MemberState.ALIVE:
             self.mark_predecessors_dead(member, now)
-            self.reach.record_refutation(member, now)
+            self.reachability.record_refutation(member, now)
         if not member.listed:
             self.drop_gone_member(member, link, now)
         self.outputs.append(MembersChanged(member.node, member.state))
@@ -378,11 +378,11 @@
     def refute(self, member: Member, now: float) -> None:
         """Override a newer record of this node, such as a suspicion, by incarnation."""
         newer = member.incarnation > self.incarnation
-        if self.leaving or not (newer or member.version > self.me.version):
+        if self.leaving or not (newer or member.version > self.own_member.version):
             return
         self.counts.refutations += 1
         self.incarnation = member.incarnation + 1
-        self.table.put(self.me, now)
+        self.table.put(self.own_member, now)
         self.enqueue_member(self.node, None)
 
     def mark_predecessors_dead(self, member: Member, now: float) -> None:
@@ -397,7 +397,7 @@
 
         The link to one that left is closed, unless the record arrived over it.
         """
-        self.reach.record_success(member.node, member.place.zone)
+        self.reachability.record_success(member.node, member.place.zone)
         gone = self.by_node.get(member.node)
         if member.state is MemberState.LEFT and gone is not None and gone is not link:
             self.hang_up(gone, "peer left", now)
@@ -435,13 +435,14 @@
 
     def dial_neighbours(self, now: float) -> None:
         """Recompute the overlay if members changed; dial neighbours without a link."""
-        if self.reach.any_backoff_ended(self.neighbours_checked_at, now):
+        if self.reachability.any_backoff_ended(self.neighbours_checked_at, now):
             self.overlay_stale = True
         self.neighbours_checked_at = now
         if self.overlay_stale:
             self.overlay_stale = False
             self.neighbours = choose_neighbours(
-                self.me, [m for m in self.table.listed() if self.reachable(m, now)]
+                self.own_member,
+                [m for m in self.table.listed() if self.reachable(m, now)],
             )
         for node in sorted(self.neighbours):
             member = self.table.members[node]
@@ -452,11 +453,11 @@
                 self.dial_failed(address, now)
 
     def reachable(self, member: Member, now: float) -> bool:
-        return member.node in self.by_node or self.reach.may_dial(member, now)
+        return member.node in self.by_node or self.reachability.may_dial(member, now)
 
     def back_off_from(self, member: Member, now: float) -> None:
         """Leave an unreachable member out of the overlay until its backoff ends."""
-        self.reach.record_failure(member, now)
+        self.reachability.record_failure(member, now)
         self.overlay_stale = True
 
     def dial_candidate(self, now: float) -> None:
@@ -464,7 +465,7 @@
         if now - self.candidate_at < 1.0:
             return
         self.candidate_at = now
-        address = self.reach.choose_candidate(self.table)
+        address = self.reachability.choose_candidate(self.table)
         if address is not None:
             self.dial(address, now)
 
--- a/src/godwitmast/peers/reach.py
+++ b/src/godwitmast/peers/reachability.py
@@ -18,7 +18,7 @@
     backoff_s: float
 
 
-class Reach:
+class Reachability:
     """Addresses that one node may dial, with the backoff of unreachable ones."""
 
     def __init__(self, place: Place, rng: random.Random, timing: Timing) -> None:
--- a/tests/test_peers_entries.py
+++ b/tests/test_peers_entries.py
@@ -110,7 +110,9 @@
         with anyio.fail_after(10):
             await second.follower.ready.wait()
             digest = hash_key(dev_key("arima"))
-            first.peering.driver.tell(Topic.WITHDRAWN_KEY, digest, None, 60, version=9)
+            first.peering.driver.publish_record(
+                Topic.WITHDRAWN_KEY, digest, None, 60, version=9
+            )
             async with httpx.AsyncClient(trust_env=False) as http:
                 url = f"{second.server.url}/v1/models"
                 headers = {"Authorization": f"Bearer {dev_key('arima')}"}
--- a/tests/test_peers_machine.py
+++ b/tests/test_peers_machine.py
@@ -35,10 +35,10 @@
     network.act(fake.machine.place.address, lambda m: m.config_changed(network.now))
 
 
-def tell(network: FakeNetwork, fake: FakeNode, topic: Topic, key: str) -> None:
+def publish(network: FakeNetwork, fake: FakeNode, topic: Topic, key: str) -> None:
     network.act(
         fake.machine.place.address,
-        lambda m: m.tell(topic, key, True, 600, network.now),
+        lambda m: m.publish_record(topic, key, True, 600, network.now),
     )
 
 
@@ -110,7 +110,7 @@
             case "config":
                 set_config(network, fake, self.number)
             case "record":
-                tell(network, fake, Topic.LEAVING_BACKEND, f"backend-{pick % 5}")
+                publish(network, fake, Topic.LEAVING_BACKEND, f"backend-{pick % 5}")
             case "cut":
                 network.cut = cut_one_way(self.choose_zone_pairs())
             case "heal":
@@ -121,7 +121,7 @@
     def add(self, zone: str, address: str | None) -> None:
         fake = self.network.add(f"added-{self.number}", zone, "r1", address)
         known = [KnownVm(address) for address in self.network.nodes]
-        fake.machine.learn_addresses(known, self.network.now)
+        fake.machine.set_known_vms(known, self.network.now)
 
     def choose_zone_pairs(self) -> set[tuple[str, str]]:
         """Return random pairs of zones to partition, some in one direction only."""
@@ -236,8 +236,8 @@
     network.run(5)
     inside, outside = network.live()[0], network.live()[1]
     set_config(network, outside, 2)
-    tell(network, outside, Topic.LEAVING_BACKEND, "backend-1")
-    tell(network, inside, Topic.LEAVING_BACKEND, "backend-2")
+    publish(network, outside, Topic.LEAVING_BACKEND, "backend-1")
+    publish(network, inside, Topic.LEAVING_BACKEND, "backend-2")
     network.run(55)
     assert inside.config.version == 1
     assert listed(inside) == {f"n{n}" for n in range(count) if n % zones == 0}
@@ -292,7 +292,7 @@
     """
     network = build(9, 3)
     new = network.add("new", "z1", address="n4:1")
-    new.machine.learn_addresses([KnownVm("n0:1")], network.now)
+    new.machine.set_known_vms([KnownVm("n0:1")], network.now)
     network.run_until(lambda: agreed(network), 5)
     assert "n4" not in names(network)
 
@@ -302,16 +302,16 @@
     network = build(2, 1)
     machine = network.nodes["n0:1"].machine
     for number in range(2000):
-        machine.learn_addresses([KnownVm(f"old{number}:1")], network.now)
-    machine.learn_addresses([KnownVm("new:1"), KnownVm("n0:1")], network.now)
-    assert machine.reach.addresses == {"new:1"}
+        machine.set_known_vms([KnownVm(f"old{number}:1")], network.now)
+    machine.set_known_vms([KnownVm("new:1"), KnownVm("n0:1")], network.now)
+    assert machine.reachability.addresses == {"new:1"}
 
 
 def test_restarted_node_counts_as_newer_than_its_former_life() -> None:
     network = build(9, 3)
     place = network.nodes["n4:1"].machine.place
     again = network.add("n4", place.zone, address="n4:1", version=0)
-    again.machine.learn_addresses([KnownVm("n0:1")], network.now)
+    again.machine.set_known_vms([KnownVm("n0:1")], network.now)
     network.run_until(lambda: agreed(network), 8)
 
 
@@ -327,7 +327,7 @@
         network.kill(f"n{number}:1")
         new = network.add(f"new{number}", place.zone, version=0)
         known = [KnownVm(fake.machine.place.address) for fake in network.live()]
-        new.machine.learn_addresses(known, network.now)
+        new.machine.set_known_vms(known, network.now)
         network.run_until(lambda: agreed(network), 8)
     assert {fake.config.version for fake in network.live()} == {7}
 
@@ -345,11 +345,11 @@
     link = machine.by_node["n1"]
     for number in range(10_000):
         key = f"backend-{number % 7}"
-        machine.tell(Topic.LEAVING_BACKEND, key, True, 60, network.now)
+        machine.publish_record(Topic.LEAVING_BACKEND, key, True, 60, network.now)
     assert len(link.urgent) == 7
-    assert not machine.take_outputs()
+    assert not machine.pop_outputs()
     machine.sent(link.link_id, network.now)
-    (output,) = machine.take_outputs()
+    (output,) = machine.pop_outputs()
     assert isinstance(output, Send)
     held = machine.records.held[Topic.LEAVING_BACKEND]
     sent = {record.key: record.version for record in output.frame.records}
@@ -361,17 +361,17 @@
     machine.links[machine.by_node["n1"].link_id].received_at = network.now + 60
     machine.ticked_at = network.now + 9
     machine.tick(network.now + 9)
-    assert any(isinstance(output, HangUp) for output in machine.take_outputs())
+    assert any(isinstance(output, HangUp) for output in machine.pop_outputs())
 
 
 def test_withdrawn_keys_go_before_all_else() -> None:
     machine, network = blocked_link()
     link = machine.by_node["n1"]
     for number in range(2000):
-        machine.tell(Topic.QUARANTINE, f"f{number}", {}, 60, network.now)
-    machine.tell(Topic.WITHDRAWN_KEY, "hash", None, 60, network.now, 2)
+        machine.publish_record(Topic.QUARANTINE, f"f{number}", {}, 60, network.now)
+    machine.publish_record(Topic.WITHDRAWN_KEY, "hash", None, 60, network.now, 2)
     machine.sent(link.link_id, network.now)
-    (output,) = machine.take_outputs()
+    (output,) = machine.pop_outputs()
     assert isinstance(output, Send)
     assert output.frame.records[0].topic is Topic.WITHDRAWN_KEY
 
@@ -380,7 +380,7 @@
     network = build(9, 3)
     fake = network.live()[0]
     for number in range(3000):
-        tell(network, fake, Topic.LEAVING_BACKEND, f"backend-{number}")
+        publish(network, fake, Topic.LEAVING_BACKEND, f"backend-{number}")
     network.run(5)
     held = [len(f.machine.records.held[Topic.LEAVING_BACKEND]) for f in network.live()]
     assert set(held) == {2048}
@@ -395,7 +395,9 @@
     for fake in network.live():
         network.act(
             fake.machine.place.address,
-            lambda m: m.tell(Topic.LOAD, m.node, ((1, 2, 3, 4, 5),), 30, network.now),
+            lambda m: m.publish_record(
+                Topic.LOAD, m.node, ((1, 2, 3, 4, 5),), 30, network.now
+            ),
         )
     network.run(5)
     for fake in network.live():
--- a/tests/test_peers_tls.py
+++ b/tests/test_peers_tls.py
@@ -56,7 +56,7 @@
     one = make_driver("one", write_files(tmp_path, "one", ca), version=5)
     two = make_driver("two", write_files(tmp_path, "two", ca))
     async with running(one), running(two):
-        two.learn([KnownVm(one.address)])
+        two.set_known_vms([KnownVm(one.address)])
         await until(lambda: two.config.version == 5)
 
 
@@ -158,7 +158,7 @@
     """A peer sends a malformed frame after its hello; other links must stay open."""
     one, two = make_driver("one", "off", version=5), make_driver("two", "off")
     async with running(one), running(two):
-        two.learn([KnownVm(one.address)])
+        two.set_known_vms([KnownVm(one.address)])
         await until(lambda: "two" in one.machine.by_node)
         socket = await connect(f"ws://{one.address}/", proxy=None)
         await socket.send(GREETING)
