--- a/src/godwitmast/capacity/duty.py
+++ b/src/godwitmast/capacity/duty.py
@@ -32,7 +32,7 @@
 from godwitmast.errors import PlatformError, PlatformUnavailable
 from godwitmast.lease.intents import (
     Intent,
-    Recorded,
+    RecordOutcome,
     drop_intent,
     read_intents,
     record_intent,
@@ -223,7 +223,7 @@
         recorded = await run_steps(
             self.platform, record_intent(self.name, guard, intent)
         )
-        if recorded is not Recorded.WRITTEN:
+        if recorded is not RecordOutcome.WRITTEN:
             return False
         self.book.add_pending(intent)
         outcome = await self.send(guard, intent)
--- a/src/godwitmast/lease/driver.py
+++ b/src/godwitmast/lease/driver.py
@@ -51,7 +51,7 @@
 class LeaseDriver:
     """One lease and its duty.
 
-    While `spared` returns true, this process contends only if it is a candidate, since
+    While `candidates_only` returns true, this process contends only if it is a candidate, since
     the candidates poll the lease more often than it would.
     """
 
@@ -63,13 +63,13 @@
         node: str,
         timing: LeaseTiming = LeaseTiming(),
         count_vms: Callable[[], int] = lambda: 0,
-        spared: Callable[[], bool] = lambda: False,
+        candidates_only: Callable[[], bool] = lambda: False,
     ) -> None:
         self.platform = platform
         self.clock = clock
         self.duty = duty
         self.count_vms = count_vms
-        self.spared = spared
+        self.candidates_only = candidates_only
         holder = f"{node}/{secrets.token_hex(4)}"
         self.machine = LeaseMachine(duty.name, holder, timing)
         self.duty_scope: anyio.CancelScope | None = None
@@ -90,8 +90,8 @@
         while not machine.released:
             self.start_or_stop_duty(tasks)
             if self.held:
-                machine.vms = self.count_vms() or machine.vms
-            if self.spared() and not machine.is_active:
+                machine.vm_count = self.count_vms() or machine.vm_count
+            if self.candidates_only() and not machine.is_active:
                 await anyio.sleep(IDLE_POLL_S)
                 continue
             step = machine.step(self.clock.now(), self.clock.wall())
--- a/src/godwitmast/lease/intents.py
+++ b/src/godwitmast/lease/intents.py
@@ -18,7 +18,7 @@
     outcome: Json | None = None
 
 
-class Recorded(Enum):
+class RecordOutcome(Enum):
     """Outcome of writing an intent."""
 
     WRITTEN = "written"
@@ -35,7 +35,7 @@
     return f"intent/{duty}/{intent_id}"
 
 
-def record_intent(duty: str, guard: Guard, intent: Intent) -> Steps[Recorded]:
+def record_intent(duty: str, guard: Guard, intent: Intent) -> Steps[RecordOutcome]:
     """Write an intent, on condition that the lease has not changed hands."""
     key = intent_key(duty, intent.intent_id)
     checks = guard.checks
@@ -43,17 +43,17 @@
     result = yield Transact({**checks, key: 0}, {key: row})
     match result:
         case Written():
-            return Recorded.WRITTEN
+            return RecordOutcome.WRITTEN
         case Conflict():
             if any(lease in result.versions for lease in checks):
-                return Recorded.DEPOSED
-            return Recorded.EXISTS
+                return RecordOutcome.DEPOSED
+            return RecordOutcome.EXISTS
         case Failure.UNKNOWN:
             # Ids are unique, so a row that is found was written by this call.
             found = yield Read([key])
             if isinstance(found, Rows) and found.value(key) == row:
-                return Recorded.WRITTEN
-    return Recorded.FAILED
+                return RecordOutcome.WRITTEN
+    return RecordOutcome.FAILED
 
 
 def settle_intent(
--- a/src/godwitmast/lease/machine.py
+++ b/src/godwitmast/lease/machine.py
@@ -115,7 +115,7 @@
         self.beat_count = 0
         # The number of contenders, as the holder last wrote it, 0 if unknown; and this
         # one's hash in [0, 1), which decides whether it is a candidate.
-        self.vms = 0
+        self.vm_count = 0
         self.hash_fraction = xxh3_64_intdigest(holder.encode()) / 2**64
         self.read_at = -math.inf
 
@@ -198,7 +198,7 @@
         """
         self.beat_count += 1
         self.pending_renewal = PendingRenewal(fence, self.beat_count, now, wall)
-        return {"fence": fence, "beat": self.beat_count, "crowd": self.vms}
+        return {"fence": fence, "beat": self.beat_count, "crowd": self.vm_count}
 
     def take_over(self, observed: ObservedRows, now: float, wall: float) -> Step:
         fence = observed.fence + 1
@@ -247,7 +247,7 @@
 
     @property
     def is_candidate(self) -> bool:
-        return self.hash_fraction * max(1, self.vms) < TARGET_CANDIDATES
+        return self.hash_fraction * max(1, self.vm_count) < TARGET_CANDIDATES
 
     @property
     def is_active(self) -> bool:
@@ -345,7 +345,7 @@
                 return
         self.held_lease = None
         # A new holder has not counted the VMs yet; the earlier count is a better one.
-        self.vms = beat.get("crowd", 0) or self.vms
+        self.vm_count = beat.get("crowd", 0) or self.vm_count
         seen = ObservedRows(
             lease_version, beat_version, lease["fence"], lease["holder"]
         )
--- a/src/godwitmast/platform/daemon.py
+++ b/src/godwitmast/platform/daemon.py
@@ -240,7 +240,7 @@
             settings.node,
             lease_timing(bounds),
             lambda: len(duty.loads()),
-            spared=lambda: self.relay.machine.linked,
+            candidates_only=lambda: self.relay.machine.linked,
         )
         self.add_metrics(self.app.metrics.registry)
         self.callers = HttpServer(
@@ -292,7 +292,7 @@
         """Return how many VMs there are, or 0 if this one does not know."""
         if self.relay.machine.linked:
             return self.relay.machine.vms
-        return self.lease.machine.vms
+        return self.lease.machine.vm_count
 
     def config_version(self) -> int:
         return self.app.config.version if self.app.config else 0
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -5,7 +5,7 @@
 from fakes import FakePlatform, Fate
 from godwitmast.lease.intents import (
     Intent,
-    Recorded,
+    RecordOutcome,
     read_intents,
     record_intent,
     settle_intent,
@@ -78,7 +78,7 @@
     read = write.send(platform.take(step, Fate.ANSWER_LOST))
     with pytest.raises(StopIteration) as ended:
         write.send(platform.take(read))
-    assert ended.value.value is Recorded.WRITTEN
+    assert ended.value.value is RecordOutcome.WRITTEN
     late = 100.0 + TIMING.ttl_s + TIMING.guard_s
     new = LeaseMachine("orders", "b", TIMING)
     play(platform, new, 100.0, Fate.ANSWERED)
@@ -86,11 +86,11 @@
     assert new.fence_if_held(late + 0.1, late + 0.1) == 2
     assert platform.run(read_intents("orders")) == [intent]
     other = Intent("order-2", 1, {"zone": "b"})
-    assert platform.run(record_intent("orders", old, other)) is Recorded.DEPOSED
+    assert platform.run(record_intent("orders", old, other)) is RecordOutcome.DEPOSED
     assert platform.run(settle_intent("orders", old, intent, {"id": "x"})) is False
     assert platform.run(settle_intent("orders", new, intent, {"id": "y"})) is True
     again = record_intent("orders", new, intent)
-    assert platform.run(again) is Recorded.EXISTS
+    assert platform.run(again) is RecordOutcome.EXISTS
 
 
 def count_looks(vm_count: int, seconds: float) -> tuple[int, int]:
@@ -98,7 +98,7 @@
     candidates."""
     platform = FakePlatform()
     holder = hold(platform, "holder", 100.0)
-    holder.vms = vm_count
+    holder.vm_count = vm_count
     contenders = [LeaseMachine("orders", f"c{n}", TIMING) for n in range(vm_count - 1)]
     calls = 0
     for tenth in range(int(seconds * 10)):
@@ -126,7 +126,7 @@
     """A zone is lost with the holder and all candidates."""
     platform = FakePlatform()
     holder = hold(platform, "holder", 100.0)
-    holder.vms = 10_000
+    holder.vm_count = 10_000
     play(platform, holder, 103.0, Fate.ANSWERED)
     non_candidate = LeaseMachine("orders", "one of many", TIMING)
     now = 103.0
@@ -146,7 +146,7 @@
     platform = FakePlatform()
     machines = [LeaseMachine("duties", name, TIMING) for name in ("a", "b")]
     for machine in machines:
-        machine.vms = 195
+        machine.vm_count = 195
     now = 0.0
     while not any(machine.held_lease for machine in machines):
         now += 0.5
@@ -160,4 +160,4 @@
     step = newcomer.step(now, now)
     assert step is not None
     newcomer.took(platform.take(step), now)
-    assert newcomer.vms == 195
+    assert newcomer.vm_count == 195
