--- a/src/godwitmast/claims/keeper.py
+++ b/src/godwitmast/claims/keeper.py
@@ -10,14 +10,14 @@
 from godwitmast.claims.machine import (
     Answer,
     Call,
-    Free,
-    LookOutcome,
-    NoTable,
+    ClaimGranted,
+    ClaimOutcome,
+    LookupOutcome,
     Settlement,
-    TakeOutcome,
-    Won,
-    look,
-    take,
+    TableUnavailable,
+    Unclaimed,
+    claim,
+    look_up,
 )
 from godwitmast.clock import Clock
 from godwitmast.logs import log_event
@@ -43,28 +43,30 @@
     def __init__(self, keeper: "ClaimKeeper", call: Call) -> None:
         self.keeper = keeper
         self.call = call
-        self.free: Free | None = None
-        self.won: Won | None = None
+        self.unclaimed: Unclaimed | None = None
+        self.granted: ClaimGranted | None = None
         self.settled = False
 
-    async def look(self) -> LookOutcome:
+    async def look_up(self) -> LookupOutcome:
         """Return what the table says of the call, before the call queues."""
-        outcome = await run_steps(self.keeper.platform, look(self.call))
-        if isinstance(outcome, Free):
-            self.free = outcome
+        outcome = await run_steps(self.keeper.platform, look_up(self.call))
+        if isinstance(outcome, Unclaimed):
+            self.unclaimed = outcome
         return outcome
 
-    async def take(self) -> TakeOutcome:
-        """Claim the call; send it only if the outcome is Won."""
-        assert self.free is not None, "look comes before take"
-        if self.won is not None:
-            return self.won
+    async def claim(self) -> ClaimOutcome:
+        """Claim the call; send it only if the outcome is ClaimGranted."""
+        assert self.unclaimed is not None, "look_up comes before claim"
+        if self.granted is not None:
+            return self.granted
         with anyio.CancelScope(shield=True):
             # A claim whose write is cancelled may be in the table and never settled.
-            outcome = await run_steps(self.keeper.platform, take(self.call, self.free))
-        if isinstance(outcome, Won):
-            self.won = outcome
-        elif isinstance(outcome, NoTable) and outcome.may_stand:
+            outcome = await run_steps(
+                self.keeper.platform, claim(self.call, self.unclaimed)
+            )
+        if isinstance(outcome, ClaimGranted):
+            self.granted = outcome
+        elif isinstance(outcome, TableUnavailable) and outcome.may_stand:
             self.keeper.enqueue(Settlement(self.call))
         return outcome
 
@@ -73,10 +75,10 @@
 
         Returns once that is written, or queued because the table is slow or down.
         """
-        if self.won is None or self.settled:
+        if self.granted is None or self.settled:
             return
         self.settled = True
-        settlement = Settlement(self.call, self.won, answer, ran)
+        settlement = Settlement(self.call, self.granted, answer, ran)
         written = False
         with anyio.move_on_after(SETTLE_WAIT_S, shield=True):
             written = await run_steps(self.keeper.platform, settlement.steps())
--- a/src/godwitmast/claims/machine.py
+++ b/src/godwitmast/claims/machine.py
@@ -70,14 +70,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Free:
+class Unclaimed:
     """The call is not claimed; a claim must replace the row of version `version`."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
-class Won:
+class ClaimGranted:
     """This attempt holds the claim: the call may be sent."""
 
     version: int
@@ -91,20 +91,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OtherBody:
+class BodyMismatch:
     """The idempotency key was used before with another body."""
 
 
 @dataclass(frozen=True, slots=True)
 class InDoubt:
-    """The call was claimed at `at`; if `may_end`, its answer may still be stored."""
+    """The call was claimed at `at`; if `may_finish`, its answer may still be stored."""
 
-    may_end: bool
+    may_finish: bool
     at: float
 
 
 @dataclass(frozen=True, slots=True)
-class NoTable:
+class TableUnavailable:
     """The table does not answer, so the call must not run.
 
     `may_stand` says that a claim may have been written even so; `release` reverts it.
@@ -113,34 +113,34 @@
     may_stand: bool = False
 
 
-LookOutcome = Free | Stored | OtherBody | InDoubt | NoTable
-TakeOutcome = Won | Stored | OtherBody | InDoubt | NoTable
+LookupOutcome = Unclaimed | Stored | BodyMismatch | InDoubt | TableUnavailable
+ClaimOutcome = ClaimGranted | Stored | BodyMismatch | InDoubt | TableUnavailable
 
 
-def look(call: Call) -> Steps[LookOutcome]:
+def look_up(call: Call) -> Steps[LookupOutcome]:
     """Return what the table says of a call, before the call queues."""
     found = yield Read([call.row_key])
     if not isinstance(found, Rows):
-        return NoTable()
+        return TableUnavailable()
     row = found.rows.get(call.row_key)
     if row is None:
-        return Free(0)
+        return Unclaimed(0)
     return (yield from interpret_row(call, row))
 
 
-def interpret_row(call: Call, row: Row) -> Steps[LookOutcome]:
+def interpret_row(call: Call, row: Row) -> Steps[LookupOutcome]:
     """Return what the row of a claim means for a call."""
     value = row.value
     if value["state"] == RELEASED:
-        return Free(row.version)
+        return Unclaimed(row.version)
     if value["body"] != call.body_hash:
-        return OtherBody()
+        return BodyMismatch()
     if value["state"] != DONE:
         return InDoubt(value["state"] == CLAIMED, value["at"])
     return (yield from load_answer(value["answer"]))
 
 
-def load_answer(stored: Json) -> Steps[Stored | NoTable]:
+def load_answer(stored: Json) -> Steps[Stored | TableUnavailable]:
     if stored is None:
         return Stored(None)
     headers = [(name, value) for name, value in stored["headers"]]
@@ -148,13 +148,13 @@
         return Stored(Answer(stored["status"], headers, stored["text"].encode()))
     content = yield GetObject(stored["object"])
     if not isinstance(content, ObjectRead):
-        return NoTable()
+        return TableUnavailable()
     if content.content is None:
         return Stored(None)
     return Stored(Answer(stored["status"], headers, content.content))
 
 
-def take(call: Call, free: Free) -> Steps[TakeOutcome]:
+def claim(call: Call, unclaimed: Unclaimed) -> Steps[ClaimOutcome]:
     """Claim a call before its first byte is sent.
 
     After a write of unknown outcome the row is read, and the write repeated as long as
@@ -164,46 +164,46 @@
     sent = False
     for _ in range(MAX_TRIES):
         result = yield Transact(
-            {call.row_key: free.version}, {call.row_key: call.row(CLAIMED)}
+            {call.row_key: unclaimed.version}, {call.row_key: call.row(CLAIMED)}
         )
         if isinstance(result, Written):
-            return Won(result.versions[call.row_key])
+            return ClaimGranted(result.versions[call.row_key])
         if result is Failure.NOT_DONE and not sent:
-            return NoTable()
+            return TableUnavailable()
         sent = True
         found = yield Read([call.row_key])
         if not isinstance(found, Rows):
             continue
         row = found.rows.get(call.row_key)
         if row is not None and row.value["attempt"] == call.attempt_id:
-            return Won(row.version)
-        if found.version(call.row_key) != free.version:
+            return ClaimGranted(row.version)
+        if found.version(call.row_key) != unclaimed.version:
             outcome = yield from interpret_conflict(call, row)
             if outcome is not None:
                 return outcome
-    return NoTable(may_stand=True)
+    return TableUnavailable(may_stand=True)
 
 
-def interpret_conflict(call: Call, row: Row | None) -> Steps[TakeOutcome | None]:
+def interpret_conflict(call: Call, row: Row | None) -> Steps[ClaimOutcome | None]:
     """Return the outcome of a claim whose compare-and-set failed; None to try again."""
     if row is None:
         return None
     outcome = yield from interpret_row(call, row)
-    if isinstance(outcome, Free):
+    if isinstance(outcome, Unclaimed):
         # Another attempt claimed and released the call meanwhile. This attempt fails;
         # the caller's next one finds the call unclaimed.
-        return NoTable()
+        return TableUnavailable()
     return outcome
 
 
-def finish(call: Call, won: Won, answer: Answer | None) -> Steps[bool]:
+def finish(call: Call, granted: ClaimGranted, answer: Answer | None) -> Steps[bool]:
     """Store the answer of a call that ran; return False if it must be repeated."""
     stored = None
     if answer is not None:
         stored = yield from store_answer(call, answer)
         if stored is None:
             return False
-    return (yield from settle(call, won, call.row(DONE, stored)))
+    return (yield from settle(call, granted, call.row(DONE, stored)))
 
 
 def store_answer(call: Call, answer: Answer) -> Steps[Json | None]:
@@ -226,21 +226,21 @@
     return None if isinstance(put, Failure) else stored
 
 
-def mark_unknown(call: Call, won: Won) -> Steps[bool]:
+def mark_unknown(call: Call, granted: ClaimGranted) -> Steps[bool]:
     """Record that the call was sent and that its answer will never be known."""
-    return (yield from settle(call, won, call.row(UNKNOWN)))
+    return (yield from settle(call, granted, call.row(UNKNOWN)))
 
 
-def settle(call: Call, won: Won, row: Json) -> Steps[bool]:
+def settle(call: Call, granted: ClaimGranted, row: Json) -> Steps[bool]:
     """End this attempt's claim; return True once its row holds the end state."""
-    result = yield Transact({call.row_key: won.version}, {call.row_key: row})
+    result = yield Transact({call.row_key: granted.version}, {call.row_key: row})
     if isinstance(result, Written):
         return True
     if result is Failure.NOT_DONE:
         return False
     # Only this attempt writes to its claim, so a changed version is its own write.
     found = yield Read([call.row_key])
-    return isinstance(found, Rows) and found.version(call.row_key) != won.version
+    return isinstance(found, Rows) and found.version(call.row_key) != granted.version
 
 
 def release(call: Call) -> Steps[bool]:
@@ -272,15 +272,15 @@
     """The write that ends a call's claim."""
 
     call: Call
-    won: Won | None = None
+    granted: ClaimGranted | None = None
     answer: Answer | None = None
     ran: bool = False
     tries: int = field(default=0)
 
     def steps(self) -> Steps[bool]:
         """Return the steps that write it; they are repeated until they return True."""
-        if self.won is None or not self.ran:
+        if self.granted is None or not self.ran:
             return release(self.call)
         if self.answer is None:
-            return mark_unknown(self.call, self.won)
-        return finish(self.call, self.won, self.answer)
+            return mark_unknown(self.call, self.granted)
+        return finish(self.call, self.granted, self.answer)
--- a/src/godwitmast/entry/claim_answers.py
+++ b/src/godwitmast/entry/claim_answers.py
@@ -1,12 +1,12 @@
 """Errors for a call that may run at most once and that its claim keeps from running."""
 
 from godwitmast.claims.machine import (
+    BodyMismatch,
+    ClaimOutcome,
     InDoubt,
-    LookOutcome,
-    NoTable,
-    OtherBody,
+    LookupOutcome,
     Stored,
-    TakeOutcome,
+    TableUnavailable,
 )
 from godwitmast.dispatch.messages import NotRun
 from godwitmast.entry.refusals import ErrorAnswer
@@ -49,16 +49,16 @@
 )
 
 
-def answer_claim(outcome: LookOutcome | TakeOutcome, wall: float) -> ErrorAnswer:
+def answer_claim(outcome: LookupOutcome | ClaimOutcome, wall: float) -> ErrorAnswer:
     """Return the error for a call that may not run because of its claim."""
     match outcome:
-        case OtherBody():
+        case BodyMismatch():
             return OTHER_BODY
-        case InDoubt(may_end, at):
-            running = may_end and wall - at < POSSIBLY_RUNNING_S
+        case InDoubt(may_finish, at):
+            running = may_finish and wall - at < POSSIBLY_RUNNING_S
             return STILL_RUNNING if running else OUTCOME_UNKNOWN
         case Stored():
             return ANSWER_NOT_KEPT
-        case NoTable():
+        case TableUnavailable():
             return NOT_CLAIMED
     raise AssertionError(f"{outcome} does not keep a call from running")
--- a/src/godwitmast/entry/exchange.py
+++ b/src/godwitmast/entry/exchange.py
@@ -19,11 +19,11 @@
 from godwitmast.claims.keeper import ClaimedCall
 from godwitmast.claims.machine import (
     Answer,
-    Free,
-    LookOutcome,
+    ClaimGranted,
+    ClaimOutcome,
+    LookupOutcome,
     Stored,
-    TakeOutcome,
-    Won,
+    Unclaimed,
 )
 from godwitmast.dispatch.messages import (
     Action,
@@ -287,8 +287,8 @@
             return False
         if self.claimed is None:
             return True
-        outcome = await self.claimed.take()
-        if isinstance(outcome, Won):
+        outcome = await self.claimed.claim()
+        if isinstance(outcome, ClaimGranted):
             return True
         await self.answer_claim(outcome)
         return False
@@ -297,13 +297,13 @@
         """Read the claim; return False if it answered the caller already."""
         if self.claimed is None:
             return True
-        outcome = await self.claimed.look()
-        if isinstance(outcome, Free):
+        outcome = await self.claimed.look_up()
+        if isinstance(outcome, Unclaimed):
             return True
         await self.answer_claim(outcome)
         return False
 
-    async def answer_claim(self, outcome: LookOutcome | TakeOutcome) -> None:
+    async def answer_claim(self, outcome: LookupOutcome | ClaimOutcome) -> None:
         """Send the stored answer, or an error that says why there is none."""
         if isinstance(outcome, Stored) and outcome.answer is not None:
             stored = outcome.answer
--- a/tests/test_claims_model.py
+++ b/tests/test_claims_model.py
@@ -13,14 +13,24 @@
     RELEASED,
     Answer,
     Call,
-    Free,
     InDoubt,
-    OtherBody,
     Settlement,
     Stored,
-    Won,
-    look,
-    take,
+)
+from godwitmast.claims.machine import (
+    BodyMismatch as OtherBody,
+)
+from godwitmast.claims.machine import (
+    ClaimGranted as Won,
+)
+from godwitmast.claims.machine import (
+    Unclaimed as Free,
+)
+from godwitmast.claims.machine import (
+    claim as take,
+)
+from godwitmast.claims.machine import (
+    look_up as look,
 )
 from godwitmast.platform_api.messages import Row
 from godwitmast.platform_api.steps import Failure, PutObject, Rows, Steps, Transact
