--- a/src/godwitmast/platform/daemon.py
+++ b/src/godwitmast/platform/daemon.py
@@ -44,9 +44,9 @@
 from godwitmast.platform_api.feed import WAIT_S, FeedFollower
 from godwitmast.platform_api.runner import run_steps
 from godwitmast.platform_api.time_agreement import AgreedClock, agree_on_time
-from godwitmast.relay.copies import Sharing
 from godwitmast.relay.driver import RelayDriver
 from godwitmast.relay.feed import SharedFeed
+from godwitmast.relay.table_copy import Sharing
 from godwitmast.settings import Listen, load_settings
 from godwitmast.sockets import DEAD_PEER_OPTIONS
 from godwitmast.tls import tls_without_authorities
@@ -211,7 +211,7 @@
             timing,
             self.config_version,
             self.driver.load_row,
-            entry_count=lambda: 1 if self.relay.shares else self.count_vms(),
+            entry_count=lambda: 1 if self.relay.batches_writes else self.count_vms(),
             read_recent=self.relay.table.read_recent,
         )
         self.meter.listeners.append(self.writer.count)
@@ -240,7 +240,7 @@
             settings.node,
             lease_timing(bounds),
             lambda: len(duty.loads()),
-            candidates_only=lambda: self.relay.machine.linked,
+            candidates_only=lambda: self.relay.machine.relay_available,
         )
         self.add_metrics(self.app.metrics.registry)
         self.callers = HttpServer(
@@ -290,8 +290,8 @@
 
     def count_vms(self) -> int:
         """Return how many VMs there are, or 0 if this one does not know."""
-        if self.relay.machine.linked:
-            return self.relay.machine.vms
+        if self.relay.machine.relay_available:
+            return self.relay.machine.vm_count
         return self.lease.machine.vm_count
 
     def config_version(self) -> int:
--- a/src/godwitmast/relay/driver.py
+++ b/src/godwitmast/relay/driver.py
@@ -96,7 +96,7 @@
         )
 
     @property
-    def shares(self) -> bool:
+    def batches_writes(self) -> bool:
         """Return whether this VM's writes are batched with those of others."""
         return self.machine.serving or self.table.through_link
 
--- a/src/godwitmast/relay/feed.py
+++ b/src/godwitmast/relay/feed.py
@@ -8,8 +8,8 @@
 
 from godwitmast.errors import PeerError, PlatformError
 from godwitmast.platform_api.port import Changes, Feed, FeedRow, HistoryLost, Snapshot
-from godwitmast.relay.copies import Sharing, TableCopy
 from godwitmast.relay.messages import TableChanged, TableTold
+from godwitmast.relay.table_copy import Sharing, TableCopy
 
 MAX_CLOCK_AHEAD_S = 3600.0
 """Frames from further ahead are refused, as usage is counted by this clock. It is
--- a/src/godwitmast/relay/machine.py
+++ b/src/godwitmast/relay/machine.py
@@ -90,10 +90,10 @@
         self.checked_at = 0.0
         self.relay_can_write = False
         self.unavailable_since: float | None = None
-        self.vms = 0
+        self.vm_count = 0
 
     @property
-    def linked(self) -> bool:
+    def relay_available(self) -> bool:
         """Return whether this VM can write through the relay."""
         return self.stage is Stage.FOLLOWING and self.relay_can_write
 
@@ -176,11 +176,11 @@
         self.abandoned_version = self.version
         self.next_at = now + self.random_between(*CLAIM_WAIT_S)
 
-    def record_heartbeat(self, able: bool, vms: int, now: float) -> None:
-        """Apply a heartbeat of the relay; `vms` is 0 if it does not know the number."""
+    def record_heartbeat(self, able: bool, vm_count: int, now: float) -> None:
+        """Apply a heartbeat of the relay; `vm_count` is 0 if it does not know the number."""
         self.received_at = now
         self.relay_can_write = able
-        self.vms = vms or self.vms
+        self.vm_count = vm_count or self.vm_count
         if able:
             self.unavailable_since = None
 
--- a/src/godwitmast/relay/table.py
+++ b/src/godwitmast/relay/table.py
@@ -77,7 +77,9 @@
 
     @property
     def through_link(self) -> bool:
-        return self.relay.machine.linked and self.clock.now() >= self.direct_until
+        return (
+            self.relay.machine.relay_available and self.clock.now() >= self.direct_until
+        )
 
     async def transact(
         self, checks: dict[str, int], writes: dict[str, Json]
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -26,11 +26,11 @@
 from godwitmast.platform_api.time_agreement import AgreedClock
 from godwitmast.relay import driver, machine
 from godwitmast.relay.codec import MAX_FRAME_BYTES, decode_frame, encode_frame
-from godwitmast.relay.copies import Sharing
 from godwitmast.relay.driver import RelayDriver
 from godwitmast.relay.feed import SharedFeed
 from godwitmast.relay.messages import Beat, TableTold, TransactAsked
 from godwitmast.relay.table import MAX_WRITE_BYTES
+from godwitmast.relay.table_copy import Sharing
 from godwitmast.settings import Listen
 from godwitmast.types import Json
 from running import running
@@ -95,7 +95,7 @@
         with anyio.fail_after(WITHIN_S):
             while True:
                 serving = [vm for vm in vms if vm.machine.serving]
-                linked = [vm for vm in vms if vm.machine.linked]
+                linked = [vm for vm in vms if vm.machine.relay_available]
                 if len(serving) == 1 and len(linked) == len(vms) - 1:
                     return serving[0]
                 await anyio.sleep(0.01)
--- a/tests/test_relay_feed.py
+++ b/tests/test_relay_feed.py
@@ -11,9 +11,9 @@
 from godwitmast.platform_api.port import Changes, FeedRow, HistoryLost, Snapshot
 from godwitmast.platform_api.time_agreement import AgreedClock
 from godwitmast.relay.codec import decode_frame, encode_frame
-from godwitmast.relay.copies import KEPT_CHANGES, Sharing, TableCopy
 from godwitmast.relay.feed import SharedFeed
 from godwitmast.relay.messages import TableChanged, TableTold
+from godwitmast.relay.table_copy import KEPT_CHANGES, Sharing, TableCopy
 
 pytestmark = pytest.mark.anyio
 
--- a/tests/test_relay_machine.py
+++ b/tests/test_relay_machine.py
@@ -122,7 +122,7 @@
         return [
             vm.name
             for vm in self.living
-            if not vm.machine.serving and not vm.machine.linked
+            if not vm.machine.serving and not vm.machine.relay_available
         ]
 
 
@@ -299,7 +299,7 @@
     machine = RelayMachine("a", RelayRow("h", "x"))
     machine.record_heartbeat(True, 195, 1.0)
     machine.record_heartbeat(True, 0, 2.0)
-    assert machine.vms == 195
+    assert machine.vm_count == 195
 
 
 @pytest.mark.parametrize("value", [7, "x", [], {}, {"holder": 1, "address": "a"}])
--- a/tests/test_silent_store.py
+++ b/tests/test_silent_store.py
@@ -12,8 +12,8 @@
 from godwitmast.platform.store import CALL_TIMEOUT_S, FOLLOW_MARGIN_S
 from godwitmast.platform_api.feed import WAIT_S, FeedFollower
 from godwitmast.platform_api.port import Changes, FeedRow, Snapshot
-from godwitmast.relay.copies import Sharing
 from godwitmast.relay.feed import SharedFeed
+from godwitmast.relay.table_copy import Sharing
 from virtual_time import run_virtually
 
 TABLE = "op"
