--- a/src/godwitmast/admission/class_queue.py
+++ b/src/godwitmast/admission/class_queue.py
@@ -45,16 +45,17 @@
 
     `resumed` holds waiting requests that ran before; they start first. `preemptible`
     holds running requests that may be preempted, in the order of their first tokens.
-    `by_latest_start` sorts all waiting requests.
+    `fair` holds the waiting requests that never ran, in the order of fair shares.
+    `urgency` sorts all waiting requests by their latest start.
     """
 
     name: ClassName
     pool: PoolName
     target: RequestClass
-    fair_queue: FairQueue = field(default_factory=FairQueue)
+    fair: FairQueue = field(default_factory=FairQueue)
     resumed: OrderedDict[RequestId, Job] = field(default_factory=OrderedDict)
     preemptible: OrderedDict[RequestId, Job] = field(default_factory=OrderedDict)
-    by_latest_start: SortedList = field(default_factory=SortedList)
+    urgency: SortedList = field(default_factory=SortedList)
     running: int = 0
     service_times: ServiceTimes = field(default_factory=ServiceTimes)
     start_rate: DecayingRate = field(default_factory=DecayingRate)
@@ -78,19 +79,19 @@
 
     @property
     def waiting(self) -> int:
-        return self.fair_queue.size + len(self.resumed)
+        return self.fair.size + len(self.resumed)
 
     def add(self, job: Job, weight: float, now: float) -> None:
         """Queue a request that never ran."""
         self.reset_turns_if_empty(now)
-        self.fair_queue.add(job.request, weight)
-        self.by_latest_start.add(job.expiry_key)
+        self.fair.add(job.request, weight)
+        self.urgency.add(job.expiry_key)
 
     def add_resumed(self, job: Job, now: float) -> None:
         """Queue a request that ran before, ahead of those that never ran."""
         self.reset_turns_if_empty(now)
         self.resumed[job.request.request_id] = job
-        self.by_latest_start.add(job.expiry_key)
+        self.urgency.add(job.expiry_key)
 
     def reset_turns_if_empty(self, now: float) -> None:
         if not self.waiting:
@@ -100,10 +101,10 @@
         """Return the request of this class that starts next."""
         if self.resumed:
             return next(iter(self.resumed))
-        return self.fair_queue.peek().request_id
+        return self.fair.peek().request_id
 
     def remove(self, job: Job) -> None:
         """Remove a waiting request."""
-        self.by_latest_start.remove(job.expiry_key)
+        self.urgency.remove(job.expiry_key)
         if self.resumed.pop(job.request.request_id, None) is None:
-            self.fair_queue.remove(job.request)
+            self.fair.remove(job.request)
--- a/src/godwitmast/admission/controller.py
+++ b/src/godwitmast/admission/controller.py
@@ -60,7 +60,10 @@
 
 
 class Admission:
-    """Requests of this entry that wait or run, and the order in which they start."""
+    """Requests of this entry that wait or run, and the order in which they start.
+
+    `waiting` counts the waiting requests of all pools.
+    """
 
     def __init__(
         self, document: Document, seed: int = 0, max_waiting: int = MAX_WAITING
@@ -74,7 +77,7 @@
         self.limits = TeamLimits()
         self.lengths = AnswerLengths()
         self.service_counter = ServiceCounter()
-        self.waiting_count = 0
+        self.waiting = 0
 
     def update_config(self, document: Document) -> None:
         """Apply a new configuration; waiting requests keep position and deadline."""
@@ -142,7 +145,7 @@
 
     def shed(self, now: float) -> list[Refuse]:
         """Refuse one waiting request if the queues exceed `max_waiting`."""
-        if self.waiting_count <= self.max_waiting:
+        if self.waiting <= self.max_waiting:
             return []
         queues = (q for pool in self.pools.values() for q in pool.by_tier)
         queue, request_id = choose_request_to_shed(queues)
@@ -153,8 +156,8 @@
         refusals = []
         for pool in self.pools.values():
             for queue in pool.by_tier:
-                while queue.by_latest_start and queue.by_latest_start[0][0] <= now:
-                    job = self.jobs[queue.by_latest_start[0][1]]
+                while queue.urgency and queue.urgency[0][0] <= now:
+                    job = self.jobs[queue.urgency[0][1]]
                     refusals.append(self.refuse_waiting(job, now))
         return refusals
 
@@ -174,11 +177,11 @@
             RefusalCode.DEADLINE if job.start_deadline.by_caller else RefusalCode.SHED
         )
         weight = self.team_config(request.team).weight
-        team = queue.fair_queue.team(request.team, weight)
+        team = queue.fair.team(request.team, weight)
         rate = (
             self.pools[request.pool].class_rate(queue, now) or DEFAULT_START_RATE_PER_S
         )
-        share = weight / max(weight, queue.fair_queue.active_weight)
+        share = weight / max(weight, queue.fair.active_weight)
         retry_after_s = next_retry_after(team, rate * share, late_s, now, self.random)
         return build_refusal(request, code, retry_after_s)
 
@@ -196,7 +199,7 @@
         """Remove and return a class's next request, in the order of fair shares."""
         job = self.jobs[queue.peek()]
         if not queue.resumed:
-            queue.fair_queue.advance_virtual_time()
+            queue.fair.advance_virtual_time()
         return self.start(job, queue, now)
 
     def preempt(
@@ -350,7 +353,7 @@
     def charge(self, job: Job, queue: ClassQueue, tokens: float, now: float) -> None:
         """Charge tokens to the team's fair share and limit; report them to peers."""
         request = job.request
-        queue.fair_queue.charge(request.team, tokens)
+        queue.fair.charge(request.team, tokens)
         self.limits.charge_tokens(
             request.team, self.team_config(request.team), tokens, now
         )
@@ -372,7 +375,7 @@
             return
         team = self.team_config(key.team)
         queue = self.find_queue(key.pool, key.class_name)
-        queue.fair_queue.charge_remote(key.team, report.tokens, team.weight)
+        queue.fair.charge_remote(key.team, report.tokens, team.weight)
         self.limits.charge_requests(key.team, team, report.requests, now)
         self.limits.charge_tokens(key.team, team, report.tokens, now)
 
@@ -399,7 +402,7 @@
 
     def adjust_waiting(self, queue: ClassQueue, change: int) -> None:
         self.pools[queue.pool].waiting += change
-        self.waiting_count += change
+        self.waiting += change
 
 
 def find_engine_order_range(document: Document) -> EngineOrderRange:
--- a/src/godwitmast/admission/fairness.py
+++ b/src/godwitmast/admission/fairness.py
@@ -49,13 +49,15 @@
 class FairQueue:
     """Waiting requests of one class, in the order of fair shares.
 
-    Each operation is logarithmic in the number of teams that have requests waiting.
+    `backlogs` sorts the teams that wait by their waiting requests per weight; `size`
+    counts the waiting requests. Each operation is logarithmic in the number of teams
+    that have requests waiting.
     """
 
     def __init__(self) -> None:
         self.teams: dict[TeamName, TeamQueue] = {}
         self.by_counter: SortedList = SortedList()
-        self.by_backlog: SortedList = SortedList()
+        self.backlogs: SortedList = SortedList()
         self.size = 0
         self.active_weight = 0.0
         self.virtual_time = 0.0
@@ -78,13 +80,13 @@
         """Queue a request behind the other requests of its team."""
         team_queue = self.team(request.team, weight)
         if team_queue.waiting:
-            self.by_backlog.remove((team_queue.backlog, team_queue.team))
+            self.backlogs.remove((team_queue.backlog, team_queue.team))
         else:
             team_queue.counter = max(team_queue.counter, self.virtual_time)
             self.by_counter.add((team_queue.counter, team_queue.team))
             self.active_weight += team_queue.weight
         team_queue.waiting[request.request_id] = request
-        self.by_backlog.add((team_queue.backlog, team_queue.team))
+        self.backlogs.add((team_queue.backlog, team_queue.team))
         self.size += 1
 
     def peek(self) -> RequestSpec:
@@ -99,11 +101,11 @@
     def remove(self, request: RequestSpec) -> None:
         """Remove a waiting request."""
         team_queue = self.teams[request.team]
-        self.by_backlog.remove((team_queue.backlog, team_queue.team))
+        self.backlogs.remove((team_queue.backlog, team_queue.team))
         del team_queue.waiting[request.request_id]
         self.size -= 1
         if team_queue.waiting:
-            self.by_backlog.add((team_queue.backlog, team_queue.team))
+            self.backlogs.add((team_queue.backlog, team_queue.team))
             return
         self.by_counter.remove((team_queue.counter, team_queue.team))
         self.active_weight = (
@@ -140,4 +142,4 @@
 
     def find_longest_backlog(self) -> TeamQueue:
         """Return the team with the most waiting requests per weight."""
-        return self.teams[self.by_backlog[-1][1]]
+        return self.teams[self.backlogs[-1][1]]
--- a/src/godwitmast/admission/limits.py
+++ b/src/godwitmast/admission/limits.py
@@ -33,15 +33,15 @@
 
 
 class TeamLimits:
-    """Usage of every team that has a limit or open requests."""
+    """Usage of every team that has a limit or open requests, in `uses` by team."""
 
     def __init__(self) -> None:
-        self.usage_by_team: dict[TeamName, TeamUsage] = {}
+        self.uses: dict[TeamName, TeamUsage] = {}
 
     def usage(self, name: TeamName) -> TeamUsage:
-        usage = self.usage_by_team.get(name)
+        usage = self.uses.get(name)
         if usage is None:
-            usage = self.usage_by_team[name] = TeamUsage()
+            usage = self.uses[name] = TeamUsage()
         return usage
 
     def wait_s(
--- a/src/godwitmast/admission/pool_queues.py
+++ b/src/godwitmast/admission/pool_queues.py
@@ -81,9 +81,7 @@
         if rate is None or mean_s is None:
             return 0.0
         hold_s = queue.hold_s or mean_s
-        ahead = len(queue.resumed) + queue.fair_queue.estimate_requests_ahead(
-            team, weight
-        )
+        ahead = len(queue.resumed) + queue.fair.estimate_requests_ahead(team, weight)
         for other in self.by_tier:
             if other.tier > queue.tier:
                 ahead -= len(other.preemptible)
--- a/src/godwitmast/admission/preemption.py
+++ b/src/godwitmast/admission/preemption.py
@@ -70,7 +70,7 @@
 
 def most_urgent(queue: ClassQueue) -> RequestId | None:
     """Return the waiting request of a class with the earliest latest start."""
-    return queue.by_latest_start[0][1] if queue.by_latest_start else None
+    return queue.urgency[0][1] if queue.urgency else None
 
 
 def find_victim(pool: PoolQueues, urgent: ClassQueue) -> Job | None:
--- a/src/godwitmast/admission/shedding.py
+++ b/src/godwitmast/admission/shedding.py
@@ -32,10 +32,10 @@
     waiting = [queue for queue in queues if queue.waiting]
     lowest = max(queue.tier for queue in waiting)
     tier = [queue for queue in waiting if queue.tier == lowest]
-    unstarted = [queue for queue in tier if queue.fair_queue.size]
+    unstarted = [queue for queue in tier if queue.fair.size]
     if unstarted:
         worst = max(
-            unstarted, key=lambda queue: queue.fair_queue.find_longest_backlog().backlog
+            unstarted, key=lambda queue: queue.fair.find_longest_backlog().backlog
         )
-        return worst, next(reversed(worst.fair_queue.find_longest_backlog().waiting))
+        return worst, next(reversed(worst.fair.find_longest_backlog().waiting))
     return tier[0], next(reversed(tier[0].resumed))
--- a/src/godwitmast/admission/turns.py
+++ b/src/godwitmast/admission/turns.py
@@ -24,10 +24,10 @@
 
 @dataclass(slots=True)
 class TurnCredit:
-    """A class's earned share of a turn, and the time of its last turn."""
+    """A class's earned share of a turn; `last` is the time of its last turn."""
 
     credit: float = 0.0
-    last_turn_at: float = 0.0
+    last: float = 0.0
 
 
 class WaitingClass(Protocol):
@@ -63,26 +63,24 @@
     so that none of them depends on the guard.
     """
     queues = list(waiting)
-    best = min(queues, key=lambda queue: (queue.tier, queue.turns.last_turn_at))
+    best = min(queues, key=lambda queue: (queue.tier, queue.turns.last))
     for queue in queues:
         queue.turns.credit += queue.turn_share
     owed = [
         queue for queue in queues if queue.tier > best.tier and is_owed_turn(queue, now)
     ]
     if owed:
-        lower = min(owed, key=lambda queue: queue.turns.last_turn_at)
+        lower = min(owed, key=lambda queue: queue.turns.last)
         lower.turns.credit -= cost_in_turns(lower, best)
-        lower.turns.last_turn_at = now
+        lower.turns.last = now
         return Turn(lower, True)
     best.turns.credit = min(best.turns.credit, 0.0)
-    best.turns.last_turn_at = now
+    best.turns.last = now
     return Turn(best, False)
 
 
 def is_owed_turn(queue: WaitingClass, now: float) -> bool:
-    return (
-        queue.turns.credit >= 1.0 or now - queue.turns.last_turn_at >= AGING_THRESHOLD_S
-    )
+    return queue.turns.credit >= 1.0 or now - queue.turns.last >= AGING_THRESHOLD_S
 
 
 def cost_in_turns(lower: WaitingClass, higher: WaitingClass) -> float:
@@ -103,4 +101,4 @@
     all of them in a row.
     """
     turns.credit = min(turns.credit, 0.0)
-    turns.last_turn_at = now
+    turns.last = now
--- a/src/godwitmast/load/decision_cost.py
+++ b/src/godwitmast/load/decision_cost.py
@@ -96,7 +96,7 @@
             ],
             self.now,
         )
-        while self.router.admission.waiting_count < size.waiting:
+        while self.router.admission.waiting < size.waiting:
             self.submit()
 
     def request(self) -> RequestSpec:
@@ -136,7 +136,7 @@
         taken = self.router.submit(request, self.now)
         seconds = time.perf_counter() - began
         self.note([*ended, *taken])
-        while self.router.admission.waiting_count < self.size.waiting:
+        while self.router.admission.waiting < self.size.waiting:
             self.submit()
         return seconds
 
--- a/tests/test_admission_model.py
+++ b/tests/test_admission_model.py
@@ -7,7 +7,8 @@
 from hypothesis import strategies as st
 
 from godwitmast.admission.preemption import MAX_PREEMPTIONS
-from godwitmast.admission.turns import AGING_THRESHOLD_S, TurnCredit, choose_class
+from godwitmast.admission.turns import AGING_THRESHOLD_S as AGED_S
+from godwitmast.admission.turns import TurnCredit, choose_class
 from godwitmast.config.parsing import parse_document
 from godwitmast.dispatch.messages import (
     Action,
@@ -41,7 +42,7 @@
 )
 
 
-class RouterHarness:
+class World:
     """A router with its active attempts, and the outcome of each request."""
 
     def __init__(self) -> None:
@@ -197,28 +198,25 @@
 def test_every_request_ends_once_and_no_lower_tier_goes_before_a_higher(
     seed: int,
 ) -> None:
-    """Checks the invariants asserted in `RouterHarness` after each random step.
+    """The checks in `World` hold after each step, whatever comes in which order.
 
-    A refusal marked "not run" had no attempt that reached a server; a request is
-    preempted only for a higher tier; a full queue sheds its lowest tier; and each
-    request ends exactly once.
+    A refusal that says "not run" had no attempt that reached a server; who is preempted gives way to a
+    higher tier; a full queue sheds its lowest tier; and each request ends once.
     """
-    harness = RouterHarness()
+    world = World()
     # Lists drawn by hypothesis are too short to fill the places and the queue.
     draw = Random(seed)
     for _ in range(200):
-        getattr(harness, draw.choice(OPERATIONS))(draw.randrange(400))
-    harness.drain()
-    assert all(len(ends) == 1 for ends in harness.outcomes.values())
-    assert max(harness.preempted.values(), default=0) <= MAX_PREEMPTIONS
-    admission = harness.router.admission
-    assert not admission.jobs and not admission.waiting_count
-    assert all(
-        use.open_requests == 0 for use in admission.limits.usage_by_team.values()
-    )
+        getattr(world, draw.choice(OPERATIONS))(draw.randrange(400))
+    world.drain()
+    assert all(len(ends) == 1 for ends in world.outcomes.values())
+    assert max(world.preempted.values(), default=0) <= MAX_PREEMPTIONS
+    admission = world.router.admission
+    assert not admission.jobs and not admission.waiting
+    assert all(use.open_requests == 0 for use in admission.limits.uses.values())
     for queue in admission.pools[POOL].by_tier if admission.pools else []:
-        assert not queue.running and not queue.preemptible and not queue.by_latest_start
-        assert not queue.fair_queue.size and not queue.fair_queue.by_backlog
+        assert not queue.running and not queue.preemptible and not queue.urgency
+        assert not queue.fair.size and not queue.fair.backlogs
 
 
 class FakeClass:
@@ -241,7 +239,7 @@
     ),
     st.lists(st.floats(0.001, 2.0), min_size=50, max_size=300),
 )
-def test_no_class_starves_behind_higher_tiers(
+def test_no_class_starves_however_much_waits_above_it(
     classes: list[tuple[int, float, float]], gaps: list[float]
 ) -> None:
     queues = [FakeClass(*values) for values in classes]
@@ -249,15 +247,15 @@
     for gap in gaps:
         now += gap
         for queue in queues:
-            queue.longest_gap = max(queue.longest_gap, now - queue.turns.last_turn_at)
+            queue.longest_gap = max(queue.longest_gap, now - queue.turns.last)
         choose_class(queues, now)
     # Each other class may become due for a guard turn at the same moment.
-    assert max(q.longest_gap for q in queues) <= AGING_THRESHOLD_S + 2.0 * len(queues)
+    assert max(q.longest_gap for q in queues) <= AGED_S + 2.0 * len(queues)
 
 
 @settings(max_examples=60, derandomize=True, deadline=None)
 @given(st.floats(0.0, 0.2), st.floats(1.0, 50.0), st.integers(200, 600))
-def test_starvation_guard_grants_at_most_the_turn_share_of_service_time(
+def test_guard_gives_a_class_no_more_than_its_share_of_the_time_held(
     share: float, hold_s: float, turns: int
 ) -> None:
     top, low = FakeClass(1, 0.0, 1.0), FakeClass(2, share, hold_s)
