--- a/src/godwitmast/entry/claim_answers.py
+++ b/src/godwitmast/entry/claim_answers.py
@@ -38,7 +38,7 @@
 OTHER_BODY = ErrorAnswer(
     409,
     "idempotency_conflict",
-    "This idempotency key was used for a different request. This one was not run.",
+    "This idempotency key came with another request before. This one was not run.",
 )
 NOT_CLAIMED = ErrorAnswer(
     503,
--- a/src/godwitmast/entry/openai.py
+++ b/src/godwitmast/entry/openai.py
@@ -100,9 +100,7 @@
     def prepare_model(self, incoming: Incoming) -> Prepared | ErrorAnswer:
         head, caller = incoming.head, require_caller(incoming.caller)
         if head.method != "POST":
-            return ErrorAnswer(
-                405, "method_not_allowed", "Completions accept only POST."
-            )
+            return ErrorAnswer(405, "method_not_allowed", "Completions take POST.")
         call = read_model_call(incoming.body, COMPLETION_PATHS[head.path])
         if isinstance(call, ErrorAnswer):
             return call
--- a/src/godwitmast/entry/refusals.py
+++ b/src/godwitmast/entry/refusals.py
@@ -31,13 +31,13 @@
 }
 
 MESSAGE_OF_REFUSAL = {
-    RefusalCode.TEAM_LIMIT: "The team exceeds its own limit.",
-    RefusalCode.SHED: "Demand exceeds capacity, and this request was shed.",
-    RefusalCode.NO_BACKEND: "No backend server is available for this request.",
-    RefusalCode.DEADLINE: "The request cannot be answered before its deadline.",
-    RefusalCode.QUARANTINED: "This request crashed backend servers and is quarantined.",
+    RefusalCode.TEAM_LIMIT: "The team is over its own limit.",
+    RefusalCode.SHED: "There is more work than capacity, and this was let go.",
+    RefusalCode.NO_BACKEND: "No backend server serves this now.",
+    RefusalCode.DEADLINE: "The answer cannot be given in time any more.",
+    RefusalCode.QUARANTINED: "This request crashed backend servers and is held off.",
     RefusalCode.BACKEND_FAILED: "The backend server failed.",
-    RefusalCode.STOPPING: "This entry is shutting down.",
+    RefusalCode.STOPPING: "This entry is stopping.",
 }
 
 OFFLINE_RETRY_AFTER_S = 10.0
@@ -52,10 +52,10 @@
 }
 
 MESSAGE_OF_DENIAL = {
-    Denial.MISSING: "The request has no key.",
-    Denial.UNKNOWN: "The key is unknown or was withdrawn.",
+    Denial.MISSING: "No key was given.",
+    Denial.UNKNOWN: "The key is not known, or was withdrawn.",
     Denial.EXPIRED: "The key has expired.",
-    Denial.OFFLINE: "This availability zone is disconnected, and the team requires checked keys.",
+    Denial.OFFLINE: "This zone is cut off, and the team allows no keys unchecked.",
     Denial.CLASS: "This class does not exist, or the key does not allow it.",
     Denial.MODEL: "The key does not allow this model or service.",
 }
--- a/src/godwitmast/entry/request_parsing.py
+++ b/src/godwitmast/entry/request_parsing.py
@@ -198,9 +198,9 @@
                 if size <= limits.max_body_bytes:
                     chunks.append(chunk)
     except TimeoutError:
-        return ErrorAnswer(408, "body_too_slow", "The body was not received in time.")
+        return ErrorAnswer(408, "body_too_slow", "The body did not come in time.")
     if size > limits.max_body_bytes:
-        message = f"The body is larger than {limits.max_body_bytes} bytes."
+        message = f"The body is over {limits.max_body_bytes} bytes."
         return ErrorAnswer(413, "body_too_large", message)
     return b"".join(chunks)
 
