--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -40,7 +40,7 @@
         assert len(system.service.records) == 1
 
 
-async def test_call_is_refused_as_not_run_while_the_table_is_away(
+async def test_call_is_refused_as_not_run_while_the_table_is_down(
     system: DevSystem, http: httpx.AsyncClient
 ) -> None:
     """Without the table no call can be claimed, and without a claim none is sent.
@@ -79,7 +79,7 @@
         assert len(system.service.records) == 1
 
 
-async def test_call_whose_server_broke_is_unknown_for_ever(
+async def test_call_whose_server_failed_stays_unknown_for_ever(
     http: httpx.AsyncClient,
 ) -> None:
     """The service receives the call and closes the connection without an answer.
@@ -117,7 +117,7 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_call_goes_on_without_its_caller_and_its_answer_is_kept(
+async def test_call_completes_without_its_caller_and_its_answer_is_stored(
     system: DevSystem, http: httpx.AsyncClient
 ) -> None:
     """The caller times out while its charge runs, and retries with the same key."""
@@ -139,7 +139,7 @@
         assert len(system.service.records) == 1
 
 
-async def test_claim_is_given_back_when_no_server_could_be_reached(
+async def test_claim_is_released_when_no_server_could_be_reached(
     system: DevSystem, http: httpx.AsyncClient
 ) -> None:
     async with running(system):
--- a/tests/test_claims_model.py
+++ b/tests/test_claims_model.py
@@ -231,17 +231,17 @@
         return without_compare(steps)
 
 
-def test_a_claimed_call_runs_at_most_once_whatever_fails() -> None:
+def test_claimed_call_runs_at_most_once_whatever_fails() -> None:
     explore(ClaimModel, examples=300)
 
 
 @pytest.mark.parametrize("broken", [ClaimWithExpiry, ClaimWithoutCompare])
-def test_the_same_model_catches_a_broken_claim(broken: type[ClaimModel]) -> None:
+def test_model_finds_the_fault_of_a_broken_claim(broken: type[ClaimModel]) -> None:
     with pytest.raises(AssertionError):
         explore(broken, examples=BROKEN_EXAMPLES)
 
 
-def test_a_claim_that_never_ran_is_free_again_even_if_it_arrives_late() -> None:
+def test_claim_that_never_ran_is_released_even_if_it_arrives_late() -> None:
     """The entry's claim gets no answer, so the caller is answered "not run".
 
     The claim is released before its write has arrived. When the write arrives, it must
@@ -260,7 +260,7 @@
     assert isinstance(platform.run(take(again, free)), Won)
 
 
-def test_a_repeat_gets_the_stored_answer_and_another_body_a_conflict() -> None:
+def test_repeat_gets_the_stored_answer_and_another_body_a_conflict() -> None:
     platform = FakePlatform()
     call = Call("team", "key", "body", "attempt-1")
     won = platform.run(take(call, Free(0)))
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -43,7 +43,7 @@
     assert challenger.fence_if_held(now, now) == 2
 
 
-def test_lease_that_was_given_up_is_taken_at_once() -> None:
+def test_lease_that_was_released_is_taken_at_once() -> None:
     platform = FakePlatform()
     first = hold(platform, "a", 100.0)
     first.give_up()
@@ -53,7 +53,7 @@
     assert hold(platform, "b", 100.1).held_lease.fence == 2
 
 
-def test_renewal_whose_answer_is_lost_counts_only_once_read_back() -> None:
+def test_renewal_whose_answer_is_lost_counts_only_after_a_read() -> None:
     platform = FakePlatform()
     machine = hold(platform, "a", 100.0)
     play(platform, machine, 103.0, Fate.ANSWER_LOST)
@@ -113,7 +113,7 @@
     return calls, candidates
 
 
-def test_looks_at_a_held_lease_hardly_grow_with_the_contenders() -> None:
+def test_reads_of_a_held_lease_hardly_grow_with_the_contenders() -> None:
     """Seven times as many VMs contend for a lease that its holder keeps renewing."""
     few, few_candidates = count_looks(9, 300)
     many, many_candidates = count_looks(67, 300)
@@ -122,7 +122,7 @@
     assert many < 3.5 * few
 
 
-def test_lease_passes_on_when_every_candidate_is_gone() -> None:
+def test_lease_is_taken_over_when_every_candidate_has_failed() -> None:
     """A zone is lost with the holder and all candidates."""
     platform = FakePlatform()
     holder = hold(platform, "holder", 100.0)
@@ -138,7 +138,7 @@
     assert non_candidate.fence_if_held(now, now) == 2
 
 
-def test_new_holder_that_has_not_counted_yet_keeps_the_count_of_before() -> None:
+def test_new_holder_that_has_not_counted_yet_keeps_the_previous_count() -> None:
     """A takeover wrote that there is one VM where there were hundreds.
 
     Each VM then became a candidate, and used the whole allowance of retries.
--- a/tests/test_lease_model.py
+++ b/tests/test_lease_model.py
@@ -220,14 +220,14 @@
     explore(LeaseModel)
 
 
-def test_lease_has_one_holder_at_a_time_among_those_who_look_seldom() -> None:
+def test_lease_has_one_holder_at_a_time_without_candidates() -> None:
     explore(type("SeldomModel", (LeaseModel,), {"machine_type": LeaseLookedAtSeldom}))
 
 
 @pytest.mark.parametrize(
     "broken", [LeaseWithoutLastStepCheck, LeaseCountedFromTheAnswer, LeaseTakenAtOnce]
 )
-def test_the_same_model_catches_a_broken_lease(broken: type[LeaseMachine]) -> None:
+def test_model_finds_the_fault_of_a_broken_lease(broken: type[LeaseMachine]) -> None:
     model = type(f"{broken.__name__}Model", (LeaseModel,), {"machine_type": broken})
     with pytest.raises(AssertionError):
         explore(model, examples=BROKEN_EXAMPLES)
--- a/tests/test_peers_codec.py
+++ b/tests/test_peers_codec.py
@@ -55,11 +55,11 @@
 
 
 @pytest.mark.parametrize("frame", [Frame(BEAT), FULL])
-def test_frame_comes_back_as_it_was_sent(frame: Frame) -> None:
+def test_frame_survives_encoding_and_decoding(frame: Frame) -> None:
     assert decode_frame(encode_frame(frame)) == frame
 
 
-def test_a_heartbeat_is_small() -> None:
+def test_heartbeat_is_at_most_16_bytes() -> None:
     assert len(encode_frame(Frame(Beat(1300, 2**32 - 1, 2**32 - 1)))) <= 16
 
 
@@ -122,6 +122,6 @@
         cbor2.dumps([list(BEAT), [[99, "h", 1, 1.0, None]]]),
     ],
 )
-def test_what_breaks_a_bound_is_a_peer_error(data: bytes) -> None:
+def test_frame_beyond_a_bound_is_a_peer_error(data: bytes) -> None:
     with pytest.raises(PeerError):
         decode_frame(data)
--- a/tests/test_peers_entries.py
+++ b/tests/test_peers_entries.py
@@ -105,7 +105,7 @@
         assert "backend-x" in second.driver.leaving_until
 
 
-async def test_withdrawn_key_is_refused_before_its_configuration_is_here() -> None:
+async def test_withdrawn_key_is_refused_before_its_configuration_arrives() -> None:
     async with started("a-1", "b-1") as (platform, (first, second)):
         with anyio.fail_after(10):
             await second.follower.ready.wait()
--- a/tests/test_peers_machine.py
+++ b/tests/test_peers_machine.py
@@ -179,7 +179,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_fifty_nodes_converge_after_a_minute_of_trouble(seed: int) -> None:
+def test_fifty_nodes_converge_after_a_minute_of_faults(seed: int) -> None:
     """The same faults as above, one after another, among fifty nodes."""
     network = build(50, 7, Weather(0.02, 0.1, jitter_s=0.05), seed)
     trouble = Trouble(network, 7, seed)
@@ -203,7 +203,7 @@
 
 @pytest.mark.parametrize("how", ["kill", "lose"])
 @pytest.mark.parametrize(("count", "zones"), [(9, 3), (50, 7), (350, 7)])
-def test_dead_node_is_off_every_list_and_no_live_one_is(
+def test_dead_node_is_removed_from_every_list_and_no_live_one_is(
     how: str, count: int, zones: int
 ) -> None:
     """One process dies: its connections are reset, or its VM is lost without a reset."""
@@ -245,7 +245,7 @@
     network.run_until(lambda: agreed(network), 5)
 
 
-def test_zones_that_cannot_reach_each_other_agree_by_way_of_a_third() -> None:
+def test_zones_that_cannot_reach_each_other_agree_over_a_third() -> None:
     """Two zones are partitioned from each other in one direction.
 
     Nodes whose dials fail suspect the members that they cannot reach; these receive
@@ -276,7 +276,7 @@
     assert network.nodes["n4:1"].machine.counts.suspicions == 0
 
 
-def test_node_that_leaves_is_off_every_list_at_once() -> None:
+def test_node_that_leaves_is_removed_from_every_list_at_once() -> None:
     network = build(50, 7)
     network.act("n4:1", lambda m: m.leave(network.now))
     network.run(0.5)
@@ -297,7 +297,7 @@
     assert "n4" not in names(network)
 
 
-def test_addresses_that_the_platform_lists_no_more_are_not_tried() -> None:
+def test_addresses_that_the_platform_no_longer_lists_are_not_dialled() -> None:
     """VMs are replaced for days; only the newest list's addresses are kept."""
     network = build(2, 1)
     machine = network.nodes["n0:1"].machine
@@ -307,7 +307,7 @@
     assert machine.reachability.addresses == {"new:1"}
 
 
-def test_restarted_node_counts_as_newer_than_its_former_life() -> None:
+def test_restarted_node_counts_as_newer_than_its_previous_process() -> None:
     network = build(9, 3)
     place = network.nodes["n4:1"].machine.place
     again = network.add("n4", place.zone, address="n4:1", version=0)
@@ -364,7 +364,7 @@
     assert any(isinstance(output, HangUp) for output in machine.pop_outputs())
 
 
-def test_withdrawn_keys_go_before_all_else() -> None:
+def test_withdrawn_keys_are_sent_first() -> None:
     machine, network = blocked_link()
     link = machine.by_node["n1"]
     for number in range(2000):
@@ -390,7 +390,7 @@
     assert {fake.machine.records.digest for fake in network.live()} == {0}
 
 
-def test_load_is_told_to_the_zone_and_to_no_other() -> None:
+def test_load_is_spread_within_its_zone_only() -> None:
     network = build(50, 5)
     for fake in network.live():
         network.act(
@@ -405,7 +405,7 @@
         assert set(fake.machine.records.held[Topic.LOAD]) == zone
 
 
-def test_suspect_is_listed_until_its_time_is_up() -> None:
+def test_suspect_is_listed_until_it_is_declared_dead() -> None:
     network = build(9, 3)
     network.kill("n4:1")
     network.run(2)
--- a/tests/test_peers_processes.py
+++ b/tests/test_peers_processes.py
@@ -111,7 +111,7 @@
         yield Fleet(processes, system, http)
 
 
-async def test_zone_cut_off_from_all_serves_on_and_catches_up(
+async def test_partitioned_zone_keeps_serving_and_catches_up(
     processes: Processes,
 ) -> None:
     """Zone c never reaches the platform, and is then partitioned from the others too.
@@ -139,7 +139,7 @@
         await fleet.until_config("abc", 2)
 
 
-async def test_killed_and_paused_entries_are_dropped_and_come_back(
+async def test_killed_and_paused_entries_are_removed_and_listed_again(
     processes: Processes,
 ) -> None:
     """One entry is killed and restarted at its address; another one is paused."""
--- a/tests/test_peers_tls.py
+++ b/tests/test_peers_tls.py
@@ -121,7 +121,7 @@
                 assert (await http.get(server.url)).text == "hello"
 
 
-async def test_operators_without_a_certificate_are_not_let_in(tmp_path: Path) -> None:
+async def test_operator_without_a_certificate_is_refused(tmp_path: Path) -> None:
     ca = trustme.CA()
     files = write_files(tmp_path, "control", ca)
     server = HttpServer(Starlette(), Listen(), TlsFiles(*files))
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -163,7 +163,7 @@
     assert zone.platform.table.rows["node/1"].value == "closed"
 
 
-async def test_lost_answer_is_unknown_to_each_vm_and_never_taken_for_refused(
+async def test_lost_answer_is_unknown_to_each_vm_and_not_refused(
     zone: ZoneOfThree,
 ) -> None:
     """The rows are written but the answer is lost: a new write would count twice."""
@@ -182,7 +182,7 @@
     assert [type(error) for error in errors] == [PlatformOutcomeUnknown] * 3
 
 
-async def test_follower_of_a_relay_that_is_turned_away_writes_by_itself(
+async def test_follower_of_a_relay_that_is_turned_away_writes_directly(
     zone: ZoneOfThree,
 ) -> None:
     relay = await zone.settle(zone.vms)
@@ -220,7 +220,7 @@
     )
 
 
-async def test_row_that_is_too_large_does_not_fail_its_neighbours(
+async def test_row_that_is_too_large_does_not_fail_others_of_its_batch(
     zone: ZoneOfThree,
 ) -> None:
     """The store refuses the whole transaction if one row is over its limit."""
@@ -232,7 +232,7 @@
     assert store.calls == before + 1
 
 
-async def test_marks_that_all_vms_ask_for_are_read_once(zone: ZoneOfThree) -> None:
+async def test_rows_that_all_vms_read_are_read_once(zone: ZoneOfThree) -> None:
     zone.platform.table.transact({}, {"usage/head": {"frozen": 5}})
     before = calls(zone)
     relay = await zone.settle(zone.vms)
@@ -242,7 +242,7 @@
     assert calls(zone) - before == 1
 
 
-async def test_marks_that_vms_ask_for_at_once_are_read_once(zone: ZoneOfThree) -> None:
+async def test_rows_that_vms_read_concurrently_are_read_once(zone: ZoneOfThree) -> None:
     """All VMs of a zone started together, and so read in the same moment."""
     before = calls(zone)
 
@@ -253,7 +253,7 @@
     assert calls(zone) - before == 1
 
 
-async def test_stranger_that_sends_rubbish_loses_its_link_only(
+async def test_malformed_frame_closes_only_its_own_link(
     zone: ZoneOfThree,
 ) -> None:
     relay = await zone.settle(zone.vms)
@@ -268,7 +268,7 @@
     assert await zone.settle(zone.vms) is relay
 
 
-def test_frames_survive_the_wire_and_bad_ones_are_named() -> None:
+def test_frames_survive_encoding_and_malformed_ones_raise_peer_error() -> None:
     for frame in (Beat(True, 195), TransactAsked(7, {"a": 0}, {"a": {"x": [1, "2"]}})):
         assert decode_frame(encode_frame(frame)) == frame
     billion = cbor2.dumps([5, True, 10**9])
@@ -277,7 +277,7 @@
             decode_frame(data)
 
 
-async def test_group_commit_keeps_to_the_entries_that_a_transaction_may_hold() -> None:
+async def test_group_commit_keeps_to_the_size_limit_of_a_transaction() -> None:
     """The store refuses transactions of more than 100 checks and writes together."""
     sizes: list[int] = []
 
@@ -339,7 +339,7 @@
     return msgspec.json.encode({"version": 7, "routes": routes})
 
 
-def test_large_table_fits_a_small_link_many_times() -> None:
+def test_large_table_reaches_twenty_followers_over_a_slow_link() -> None:
     """A configuration grows by 1,700 routes; a relay sends it to 20 VMs over 10 Mbit/s.
 
     Uncompressed, the frames filled its link for ten seconds. Its heartbeats were
@@ -353,18 +353,18 @@
 
 
 @pytest.mark.parametrize("cut", [1, 100])
-def test_compressed_frame_that_is_cut_is_an_error(cut: int) -> None:
+def test_truncated_compressed_frame_is_an_error(cut: int) -> None:
     data = encode_frame(TableTold("op", 9, [("config", large_config())], 3.5))
     with pytest.raises(PeerError):
         decode_frame(data[:-cut])
 
 
-def test_frame_that_would_fill_the_memory_is_not_unpacked() -> None:
+def test_frame_over_the_size_limit_is_not_decompressed() -> None:
     with pytest.raises(PeerError):
         decode_frame(zlib.compress(bytes(MAX_FRAME_BYTES + 1)))
 
 
-async def test_large_frames_go_to_one_follower_after_the_other(
+async def test_large_frames_are_sent_to_one_follower_after_the_other(
     zone: ZoneOfThree, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """One follower does not read; the other still gets its frame."""
--- a/tests/test_relay_feed.py
+++ b/tests/test_relay_feed.py
@@ -160,7 +160,7 @@
     assert not pair.follower_calls.calls
 
 
-async def test_follower_of_a_relay_that_goes_silent_asks_in_time(pair: Pair) -> None:
+async def test_follower_of_a_relay_that_stops_sending_polls_in_time(pair: Pair) -> None:
     """A server is removed just after the relay was paused or partitioned."""
     version = await pair.wait_until_fresh()
     pair.cut = True
@@ -182,7 +182,7 @@
     return feed
 
 
-def test_frame_that_was_held_up_on_the_way_is_as_old_as_its_answer() -> None:
+def test_delayed_frame_is_as_old_as_the_answer_that_it_carries() -> None:
     """A link that lost packets delivers a relay's frame late.
 
     If its age were counted from its arrival, it would count as fresh, and a server that
@@ -210,7 +210,7 @@
     assert clock.updated_at is None
 
 
-async def test_table_that_the_platform_has_not_told_is_not_passed_on() -> None:
+async def test_table_that_the_platform_has_not_confirmed_is_not_sent() -> None:
     """A relay's metrics are read before the platform's first answer.
 
     That created a frame without a version, for which each follower closed its link as
@@ -223,7 +223,7 @@
     assert relay.known_tables() == [TABLE]
 
 
-async def test_own_answer_does_not_pass_for_a_relay_that_tells(pair: Pair) -> None:
+async def test_own_answer_does_not_count_as_a_relays_frame(pair: Pair) -> None:
     """A VM without a relay must have a long poll open all the time."""
     calls = OwnCalls(pair.store)
     alone = SharedFeed(calls, Clock(), SHARING)
@@ -234,7 +234,7 @@
     assert calls.calls == 2
 
 
-async def test_relay_that_cannot_ask_tells_nothing_fresh(pair: Pair) -> None:
+async def test_relay_that_is_turned_away_sends_nothing_fresh(pair: Pair) -> None:
     """The store turns away the relay and answers its followers."""
     version = await pair.wait_until_fresh()
     pair.relay_calls.away = True
@@ -247,13 +247,13 @@
     assert pair.follower_calls.calls == 1
 
 
-async def test_relay_of_few_vms_leaves_them_to_follow_by_themselves() -> None:
+async def test_relay_of_few_followers_does_not_share_tables() -> None:
     """The relay's more frequent polls would cost more calls than two followers save."""
     assert not SHARING.saves_calls(2)
     assert SHARING.saves_calls(39)
 
 
-def test_changes_that_are_no_longer_kept_ask_for_all_rows() -> None:
+def test_changes_that_are_no_longer_kept_require_a_snapshot() -> None:
     copy = TableCopy()
     copy.apply_snapshot(Snapshot([row("a")], 1))
     for number in range(KEPT_CHANGES + 5):
@@ -275,7 +275,7 @@
     assert copy.rows == {"a": b"new"}
 
 
-def test_changes_after_a_gap_are_not_taken() -> None:
+def test_changes_after_a_gap_are_not_applied() -> None:
     copy = TableCopy()
     copy.apply_snapshot(Snapshot([row("a")], 3))
     assert not copy.apply_changes(5, Changes([row("b")], 6))
--- a/tests/test_relay_machine.py
+++ b/tests/test_relay_machine.py
@@ -136,7 +136,7 @@
     return zone
 
 
-def test_started_together_all_find_one_relay_with_few_writes() -> None:
+def test_vms_started_together_elect_one_relay_with_few_writes() -> None:
     """All VMs of a zone start in the same second and claim the same row."""
     zone = Zone(70)
     zone.run(SETTLED_S)
@@ -145,7 +145,7 @@
     assert zone.platform.steps < 4 * zone.size
 
 
-def test_settled_zone_asks_the_table_only_for_the_seat(zone: Zone) -> None:
+def test_settled_zone_reads_only_its_relay_row(zone: Zone) -> None:
     """The calls of a zone without faults do not grow with its VMs."""
     before = zone.platform.steps
     zone.run(60.0)
@@ -161,7 +161,7 @@
         assert not zone.unserved
 
 
-def test_frozen_relay_is_replaced_and_follows_once_awake(zone: Zone) -> None:
+def test_paused_relay_is_replaced_and_follows_once_resumed(zone: Zone) -> None:
     """A relay that was paused must not stay a relay beside its successor."""
     [relay] = zone.relays
     relay.paused = True
@@ -175,7 +175,7 @@
     assert not zone.unserved
 
 
-def test_follower_that_froze_leaves_the_relay_its_seat(zone: Zone) -> None:
+def test_follower_that_was_paused_does_not_replace_the_relay(zone: Zone) -> None:
     """A VM that resumes after seconds without heartbeats must not replace the relay."""
     [relay] = zone.relays
     for vm in zone.living:
@@ -225,7 +225,7 @@
         assert machine.address is None
 
 
-def test_one_of_two_that_claim_a_vacant_seat_at_once_is_the_relay() -> None:
+def test_one_of_two_that_claim_a_vacant_row_at_once_is_the_relay() -> None:
     """Both have read the row as vacant before either has claimed it."""
     platform = FakePlatform()
     machines = [RelayMachine("a", RelayRow(name, name)) for name in ("x", "y")]
@@ -254,7 +254,7 @@
     assert not zone.unserved
 
 
-def test_stopping_relay_gives_its_seat_up() -> None:
+def test_stopping_relay_deletes_its_row() -> None:
     """Otherwise a planned stop would leave the zone without a relay for seconds."""
     zone = Zone(8)
     zone.run(SETTLED_S)
@@ -269,7 +269,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_random_faults_leave_one_relay_and_nobody_alone(seed: int) -> None:
+def test_random_faults_leave_one_relay_and_no_vm_without_it(seed: int) -> None:
     """VMs are killed, paused, restarted and turned away, overlapping, for a minute."""
     zone = Zone(12, seed)
     draw = random.Random(seed)
@@ -303,7 +303,7 @@
 
 
 @pytest.mark.parametrize("value", [7, "x", [], {}, {"holder": 1, "address": "a"}])
-def test_seat_that_cannot_be_read_is_vacant(value: object) -> None:
+def test_malformed_relay_row_is_vacant(value: object) -> None:
     """A row in an unexpected format must not end the process that reads it."""
     machine = RelayMachine("a", RelayRow("h", "x"))
     machine.step(0.0)
--- a/tests/test_silent_store.py
+++ b/tests/test_silent_store.py
@@ -190,5 +190,5 @@
     assert {seed: late_s for seed, late_s in late.items() if late_s > 0} == {}
 
 
-def test_check_catches_a_follower_that_only_waits() -> None:
+def test_check_finds_a_follower_that_only_waits() -> None:
     assert any(play(seed, through_relay=False, doubts=False) > 0 for seed in range(60))
