--- a/src/godwitmast/standins/__init__.py
+++ b/src/godwitmast/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the outside systems, with faults on command."""
+"""Small stand-ins of outside systems, for trials and tests, with faults on request."""
--- a/src/godwitmast/standins/cli.py
+++ b/src/godwitmast/standins/cli.py
@@ -25,7 +25,7 @@
 
 @app.callback()
 def standin(version: VersionOption = False) -> None:
-    """Stand in for the outside systems, for trials and tests.
+    """Run stand-ins of outside systems, for trials and tests.
 
     Exit codes: 0 stopped or settings valid, 1 failed, 2 settings not valid.
     """
@@ -33,7 +33,7 @@
 
 @app.command()
 def engine(settings: SettingsOption = None, check: CheckOption = False) -> None:
-    """Run a model engine with continuous batching and faults on command."""
+    """Run a model engine with continuous batching; faults are set over HTTP."""
     read = read_settings(settings, EngineSettings, check)
     run_daemon("godwit-standin", read.log, lambda: StandinEngine(read))
 
--- a/src/godwitmast/standins/engine.py
+++ b/src/godwitmast/standins/engine.py
@@ -1,4 +1,8 @@
-"""A stand-in model engine over HTTP, with faults on command."""
+"""A stand-in model engine: an HTTP server around `EngineModel`, with faults on request.
+
+Besides completions it offers what a router may use of a real engine: load reports, cache
+events, orders to load or unload models, and export and import of KV caches.
+"""
 
 import hashlib
 import os
@@ -22,18 +26,18 @@
 from godwitmast.standins.settings import EngineSettings
 
 LENGTH_MARK = re.compile(r"length=(\d+)")
-"""A prompt that says `length=40` gets an answer of 40 tokens."""
+"""A prompt that contains `length=40` gets an answer of 40 tokens."""
 
 PREFIX_CHARS = 256
 CHARS_PER_TOKEN = 4
-EXIT_CODE_OF_CRASH = 70
+CRASH_EXIT_CODE = 70
 
 encode = msgspec.json.encode
 
 
 @dataclass
 class EngineFaults:
-    """What is wrong with the engine at the moment."""
+    """Faults that are switched on at the moment."""
 
     crash_on: str = ""
     exits: bool = False
@@ -42,12 +46,12 @@
 
 
 class EngineCrashed(Exception):
-    """The connection is to break without an answer."""
+    """Raised to break the connection without an answer, as a crashed engine does."""
 
 
 @dataclass
 class StandinEngine:
-    """The engine's HTTP side and the loop that steps its model."""
+    """The engine's HTTP server and the loop that steps its model."""
 
     settings: EngineSettings
     faults: EngineFaults = field(default_factory=EngineFaults)
@@ -65,13 +69,13 @@
         )
         self.models = set(settings.models)
         self.streams: dict[str, MemoryObjectSendStream[tuple[int, bool]]] = {}
-        self.work_came = anyio.Event()
+        self.work_available = anyio.Event()
         self.reports: list[tuple[float, dict[str, Any]]] = []
         self.fence = 0
         self.orders: list[dict[str, Any]] = []
         self.role = "mixed"
         self.served: list[dict[str, Any]] = []
-        self.kv: dict[str, int] = {}
+        self.imported_kv: dict[str, int] = {}
         self.calls = 0
         self.app = Starlette(
             routes=[
@@ -81,7 +85,7 @@
                 Route("/health", self.health),
                 Route("/load", self.load),
                 Route("/cache-events", self.cache_events),
-                Route("/orders", self.order, methods=["POST"]),
+                Route("/orders", self.execute_order, methods=["POST"]),
                 Route("/kv/export", self.export_kv, methods=["POST"]),
                 Route("/kv/import", self.import_kv, methods=["POST"]),
                 Route("/faults", self.set_faults, methods=["POST"]),
@@ -91,20 +95,20 @@
         self.server = HttpServer(self.app, settings.listen, grace_s=1.0)
 
     async def start(self, tasks: TaskGroup) -> None:
-        """Begin to listen and to step."""
+        """Start the HTTP server, the steps of the model and the load reports."""
         await self.server.start(tasks)
-        tasks.start_soon(self.run)
-        tasks.start_soon(self.report)
+        tasks.start_soon(self.run_steps)
+        tasks.start_soon(self.record_reports)
 
     async def close(self) -> None:
         await self.server.close()
 
-    async def run(self) -> None:
-        """Step the model in real time."""
+    async def run_steps(self) -> None:
+        """Step the model in real time and pass its tokens on to the open answers."""
         while True:
             if not self.model.busy:
-                self.work_came = anyio.Event()
-                await self.work_came.wait()
+                self.work_available = anyio.Event()
+                await self.work_available.wait()
             step = self.model.step()
             await anyio.sleep(step.duration_s)
             while self.faults.hang:
@@ -114,8 +118,8 @@
                 if stream is not None:
                     stream.send_nowait((event.position, event.last))
 
-    async def report(self) -> None:
-        """Keep load reports, so that old ones can be served."""
+    async def record_reports(self) -> None:
+        """Record a load report every 0.1 s, so that old ones can be served."""
         while True:
             now = anyio.current_time()
             report = {
@@ -130,19 +134,19 @@
             await anyio.sleep(0.1)
 
     async def complete(self, request: Request) -> Response:
-        """Answer a completion, streamed or whole."""
+        """Answer a completion request, streamed or in one piece."""
         body = msgspec.json.decode(await request.body())
         self.calls += 1
         if self.faults.crashed:
             raise EngineCrashed
         if body["model"] not in self.models:
-            return refuse(404, "model_not_loaded")
+            return error_response(404, "model_not_loaded")
         prompt = prompt_text(body)
         if self.faults.crash_on and self.faults.crash_on in prompt:
             self.crash()
         request_id = request.headers.get("x-request-id") or f"seq-{self.calls}"
         sequence = make_sequence(f"{request_id}/{self.calls}", body, prompt)
-        sequence.imported = self.kv.pop(request_id, 0)
+        sequence.imported = self.imported_kv.pop(request_id, 0)
         self.served.append(
             {
                 "request_id": request_id,
@@ -155,21 +159,21 @@
         send, receive = anyio.create_memory_object_stream[tuple[int, bool]](100_000)
         self.streams[sequence.sequence_id] = send
         self.model.submit(sequence)
-        self.work_came.set()
+        self.work_available.set()
         tag = hashlib.sha256(prompt.encode()).hexdigest()[:4]
-        chat = "messages" in body
-        tokens = self.tokens(sequence, receive, tag)
+        is_chat = "messages" in body
+        tokens = self.receive_tokens(sequence, receive, tag)
         if body.get("stream"):
             wants_usage = (body.get("stream_options") or {}).get("include_usage")
             events = stream_events(
-                tokens, request_id, body["model"], chat, sequence, bool(wants_usage)
+                tokens, request_id, body["model"], is_chat, sequence, bool(wants_usage)
             )
             return StreamingResponse(
                 events, headers=self.load_headers(), media_type="text/event-stream"
             )
         text = "".join([token async for token in tokens])
         return JSONResponse(
-            whole_answer(text, request_id, body["model"], chat, sequence),
+            whole_answer(text, request_id, body["model"], is_chat, sequence),
             headers=self.load_headers(),
         )
 
@@ -177,13 +181,13 @@
         model = self.model
         return {"Engine-Load": f"{len(model.running)};{len(model.waiting)}"}
 
-    async def tokens(
+    async def receive_tokens(
         self,
         sequence: Sequence,
         receive: MemoryObjectReceiveStream[tuple[int, bool]],
         tag: str,
     ) -> AsyncIterator[str]:
-        """Yield the text of each token; a caller that goes away cancels the rest."""
+        """Yield the text of each token; cancel the sequence if the caller disconnects."""
         try:
             async for position, last in receive:
                 if self.faults.crashed:
@@ -198,10 +202,13 @@
             receive.close()
 
     def crash(self) -> None:
-        """Lose all work; as a process, end; inside another one, break connections."""
+        """Lose all work: exit the process or, without `exits`, break all connections.
+
+        The latter serves an engine that shares its process with other parts of a test.
+        """
         log_event("engine_crashed", name=self.settings.name, level="WARNING")
         if self.faults.exits:
-            os._exit(EXIT_CODE_OF_CRASH)
+            os._exit(CRASH_EXIT_CODE)
         self.faults.crashed = True
         self.model.clear()
         for stream in list(self.streams.values()):
@@ -218,20 +225,20 @@
         return JSONResponse({"ok": True})
 
     async def load(self, request: Request) -> Response:
-        """Return the newest report that is at least the lag old."""
+        """Return the newest load report that is at least `load_lag_s` old."""
         if self.faults.crashed:
             raise EngineCrashed
         now = anyio.current_time()
-        old = [
+        old_enough = [
             item for item in self.reports if item[0] <= now - self.settings.load_lag_s
         ]
-        if not old:
+        if not old_enough:
             return JSONResponse({"running": 0, "waiting": 0, "age_s": 0.0})
-        made, report = old[-1]
-        return JSONResponse({**report, "age_s": now - made})
+        made_at, report = old_enough[-1]
+        return JSONResponse({**report, "age_s": now - made_at})
 
     async def cache_events(self, request: Request) -> Response:
-        """Return cache events after a number; every seventh one is lost."""
+        """Return the cache events after a number; every seventh one is left out as lost."""
         after = int(request.query_params.get("after", 0))
         events = [
             {"sequence": e.sequence, "prefix": e.prefix, "stored": e.stored}
@@ -240,14 +247,14 @@
         ]
         return JSONResponse({"events": events})
 
-    async def order(self, request: Request) -> Response:
-        """Take an order; an old fencing number is refused where fences are checked."""
+    async def execute_order(self, request: Request) -> Response:
+        """Carry out an order; refuse a stale fencing token where tokens are checked."""
         body = await request.json()
         fence = int(body["fence"])
         stale = fence < self.fence
         self.orders.append({**body, "stale": stale})
         if stale and self.settings.checks_fences:
-            return refuse(409, "stale_fence")
+            return error_response(409, "stale_fence")
         self.fence = max(self.fence, fence)
         match body["order"]:
             case "load":
@@ -257,11 +264,11 @@
             case "role":
                 self.role = body["role"]
             case _:
-                return refuse(422, "unknown_order")
+                return error_response(422, "unknown_order")
         return JSONResponse({"models": sorted(self.models), "role": self.role})
 
     async def export_kv(self, request: Request) -> Response:
-        """Return a handle to the cache of a running request."""
+        """Return a handle to the KV cache of a running request."""
         body = await request.json()
         for sequence in self.model.running.values():
             if sequence.sequence_id.split("/")[0] == body["request_id"]:
@@ -269,16 +276,16 @@
                 return JSONResponse(
                     {"request_id": body["request_id"], "tokens": tokens}
                 )
-        return refuse(404, "not_running")
+        return error_response(404, "not_running")
 
     async def import_kv(self, request: Request) -> Response:
-        """Take the cache of a request that ran elsewhere."""
+        """Accept the KV cache of a request that ran on another engine."""
         body = await request.json()
-        self.kv[body["request_id"]] = int(body["tokens"])
+        self.imported_kv[body["request_id"]] = int(body["tokens"])
         return JSONResponse({"tokens": body["tokens"]})
 
     async def set_faults(self, request: Request) -> Response:
-        """Switch faults: crash, crash_on, restart, hang, speed, leave."""
+        """Set the faults exits, crash_on, hang and speed; restart the engine, or crash it."""
         body = await request.json()
         self.faults.exits = bool(body.get("exits", self.faults.exits))
         self.faults.crash_on = body.get("crash_on", self.faults.crash_on)
@@ -295,8 +302,8 @@
         return JSONResponse(self.served)
 
 
-def refuse(status: int, code: str) -> Response:
-    """Return an error that says that nothing was run."""
+def error_response(status: int, code: str) -> Response:
+    """Return an error response whose header says that the request was not run."""
     return JSONResponse(
         {"error": {"code": code, "message": code}},
         status,
@@ -305,27 +312,30 @@
 
 
 def prompt_text(body: dict[str, Any]) -> str:
-    """Return the prompt of either kind of completion as one text."""
+    """Return the prompt of a chat or text completion as one string."""
     if "messages" in body:
         return "\n".join(str(message["content"]) for message in body["messages"])
     return str(body["prompt"])
 
 
 def make_sequence(sequence_id: str, body: dict[str, Any], prompt: str) -> Sequence:
-    """Return the sequence of a request; its length depends on the prompt alone."""
+    """Return the sequence of a request.
+
+    The answer's length depends on the prompt alone, up to the request's token limit.
+    """
     mark = LENGTH_MARK.search(prompt)
     digest = hashlib.sha256(prompt.encode()).digest()
     length = int(mark.group(1)) if mark else 8 + digest[0]
     limit = body.get("max_completion_tokens") or body.get("max_tokens") or 1024
     prompt_tokens = max(1, len(prompt) // CHARS_PER_TOKEN)
-    long_enough = len(prompt) >= PREFIX_CHARS
+    has_prefix = len(prompt) >= PREFIX_CHARS
     return Sequence(
         sequence_id,
         prompt_tokens,
         max(1, min(length, limit)),
         priority=int(body.get("priority", 0)),
         prefix=hashlib.sha256(prompt[:PREFIX_CHARS].encode()).hexdigest()[:16]
-        if long_enough
+        if has_prefix
         else "",
         prefix_tokens=PREFIX_CHARS // CHARS_PER_TOKEN,
         generated=int((body.get("resume") or {}).get("tokens", 0)),
@@ -344,14 +354,14 @@
     tokens: AsyncIterator[str],
     request_id: str,
     model: str,
-    chat: bool,
+    is_chat: bool,
     sequence: Sequence,
     wants_usage: bool,
 ) -> AsyncIterator[bytes]:
-    """Yield the server-sent events of an answer, one token each."""
+    """Yield the server-sent events of an answer, one per token."""
     head = {
         "id": request_id,
-        "object": "chat.completion.chunk" if chat else "text_completion",
+        "object": "chat.completion.chunk" if is_chat else "text_completion",
         "created": 0,
         "model": model,
     }
@@ -361,29 +371,33 @@
             "index": 0,
             "finish_reason": "stop" if last else None,
         }
-        if chat:
+        if is_chat:
             choice["delta"] = {"content": token}
         else:
             choice["text"] = token
         yield b"data: " + encode({**head, "choices": [choice]}) + b"\n\n"
     if wants_usage:
-        closing: dict[str, Any] = {**head, "choices": [], "usage": usage_of(sequence)}
-        yield b"data: " + encode(closing) + b"\n\n"
+        usage_event: dict[str, Any] = {
+            **head,
+            "choices": [],
+            "usage": usage_of(sequence),
+        }
+        yield b"data: " + encode(usage_event) + b"\n\n"
     yield b"data: [DONE]\n\n"
 
 
 def whole_answer(
-    text: str, request_id: str, model: str, chat: bool, sequence: Sequence
+    text: str, request_id: str, model: str, is_chat: bool, sequence: Sequence
 ) -> dict[str, Any]:
     """Return the answer to a request that does not stream."""
     choice: dict[str, Any] = {"index": 0, "finish_reason": "stop"}
-    if chat:
+    if is_chat:
         choice["message"] = {"role": "assistant", "content": text}
     else:
         choice["text"] = text
     return {
         "id": request_id,
-        "object": "chat.completion" if chat else "text_completion",
+        "object": "chat.completion" if is_chat else "text_completion",
         "created": 0,
         "model": model,
         "choices": [choice],
--- a/src/godwitmast/standins/engine_model.py
+++ b/src/godwitmast/standins/engine_model.py
@@ -1,7 +1,7 @@
 """A model engine without I/O: continuous batching, priorities and a prefix cache.
 
 The HTTP stand-in steps it in real time and the scenario player in virtual time, so
-that both meet the same engine.
+that both run the same engine.
 """
 
 from collections import OrderedDict
@@ -10,11 +10,12 @@
 
 
 class EngineSpeed(NamedTuple):
-    """How fast an engine is; the defaults resemble a 7-billion-parameter model.
+    """Speed and limits of an engine; the defaults resemble a 7-billion-parameter model.
 
-    One step takes `step_s`, and more for each sequence that it decodes and for each
-    prompt token that it reads. `speed` of 0.1 makes a straggler. An engine that
-    `preempts` gives the place of a less urgent sequence to one that waits.
+    One step takes `step_s`, plus `sequence_s` for each sequence that it decodes, plus
+    the time to prefill up to `chunk_tokens` at `prompt_tokens_per_s`. A `speed` of 0.1
+    makes a straggler. An engine that `preempts` takes a less urgent sequence out of a
+    full batch for one that waits.
     """
 
     step_s: float = 0.010
@@ -29,7 +30,7 @@
 
 @dataclass(slots=True)
 class Sequence:
-    """A request inside an engine."""
+    """A request in an engine, waiting or running."""
 
     sequence_id: str
     prompt_tokens: int
@@ -39,13 +40,15 @@
     prefix_tokens: int = 0
     generated: int = 0
     imported: int = 0
-    """Tokens whose KV cache came from another engine and need not be read."""
+    """Tokens whose KV cache came from another engine and need no prefill."""
     unread: int = 0
+    """Tokens that prefill has still to process."""
     order: int = 0
+    """Number of the sequence in the order of submission."""
 
 
 class TokenEvent(NamedTuple):
-    """A token came out of a sequence; `position` counts from 1."""
+    """A token that a step generated; `position` in the answer counts from 1."""
 
     sequence_id: str
     position: int
@@ -53,7 +56,7 @@
 
 
 class CacheEvent(NamedTuple):
-    """A prompt prefix entered or left the cache."""
+    """A prompt prefix was stored in the prefix cache or evicted from it."""
 
     sequence: int
     prefix: str
@@ -61,14 +64,14 @@
 
 
 class Preempted(NamedTuple):
-    """A sequence lost its place in the batch while `others` kept theirs."""
+    """A sequence that was preempted, and the `others` that stayed in the batch."""
 
     sequence_id: str
     others: tuple[str, ...]
 
 
 class Step(NamedTuple):
-    """How long a step takes and what it gives at its end."""
+    """Duration of a batch step, and the tokens that it generates."""
 
     duration_s: float
     events: list[TokenEvent]
@@ -89,23 +92,23 @@
     generated_total: int = 0
 
     def submit(self, sequence: Sequence) -> None:
-        """Queue a sequence; one with `generated` above 0 is resumed."""
+        """Queue a sequence; one with `generated` above 0 resumes its answer."""
         self.submitted += 1
         sequence.order = self.submitted
         self.enqueue(sequence)
 
     def enqueue(self, sequence: Sequence) -> None:
-        """Put a sequence among those that wait, the most urgent first."""
+        """Add a sequence to the queue, which is sorted by admission order."""
         self.waiting.append(sequence)
-        self.waiting.sort(key=urgency)
+        self.waiting.sort(key=admission_order)
 
     def cancel(self, sequence_id: str) -> None:
-        """Drop a sequence, wherever it is."""
+        """Drop a sequence, waiting or running."""
         self.running.pop(sequence_id, None)
         self.waiting = [s for s in self.waiting if s.sequence_id != sequence_id]
 
     def clear(self) -> list[str]:
-        """Lose everything, as a crash does; return the ids that were lost."""
+        """Drop all sequences and the cache, as a crash does; return the lost ids."""
         lost = [*self.running, *(item.sequence_id for item in self.waiting)]
         self.running.clear()
         self.waiting.clear()
@@ -118,33 +121,33 @@
         return bool(self.running or self.waiting)
 
     def step(self) -> Step:
-        """Run one batch step."""
+        """Run one batch step: prefill in chunks, then decode one token a sequence."""
         rates = self.rates
         self.fill_batch()
-        budget = rates.chunk_tokens
-        read = 0
+        prefill_budget = rates.chunk_tokens
+        prefilled = 0
         decoding = []
         for sequence in self.running.values():
             if sequence.unread:
-                chunk = min(sequence.unread, budget - read)
+                chunk = min(sequence.unread, prefill_budget - prefilled)
                 sequence.unread -= chunk
-                read += chunk
+                prefilled += chunk
                 if sequence.unread:
                     continue
             decoding.append(sequence)
         events = [self.decode(sequence) for sequence in decoding]
-        duration = (
+        duration_s = (
             rates.step_s
             + len(decoding) * rates.sequence_s
-            + read / rates.prompt_tokens_per_s
+            + prefilled / rates.prompt_tokens_per_s
         )
-        return Step(duration / rates.speed, events)
+        return Step(duration_s / rates.speed, events)
 
     def fill_batch(self) -> None:
-        """Admit what waits while there is room, or a less urgent sequence runs."""
+        """Admit waiting sequences while there is room or a less urgent one to preempt."""
         while self.waiting:
             if len(self.running) >= self.rates.max_batch:
-                victim = max(self.running.values(), key=urgency)
+                victim = max(self.running.values(), key=admission_order)
                 if not self.rates.preempts or (
                     victim.priority <= self.waiting[0].priority
                 ):
@@ -153,20 +156,20 @@
             self.admit(self.waiting.pop(0))
 
     def preempt(self, victim: Sequence) -> None:
-        """Put a running sequence back; its prompt and answer are read again."""
+        """Requeue a running sequence; its prompt and answer need prefill again."""
         del self.running[victim.sequence_id]
         self.preempted.append(Preempted(victim.sequence_id, tuple(self.running)))
         victim.imported = 0
         self.enqueue(victim)
 
     def admit(self, sequence: Sequence) -> None:
-        """Move a sequence into the batch, sparing the part of its prompt in cache."""
-        known = sequence.imported
+        """Move a sequence into the batch; cached or imported tokens need no prefill."""
+        reusable = sequence.imported
         if sequence.prefix:
             cached = min(self.cache.get(sequence.prefix, 0), sequence.prompt_tokens - 1)
-            known = max(known, cached)
-            self.remember(sequence.prefix, sequence.prefix_tokens)
-        sequence.unread = max(1, sequence.prompt_tokens + sequence.generated - known)
+            reusable = max(reusable, cached)
+            self.cache_prefix(sequence.prefix, sequence.prefix_tokens)
+        sequence.unread = max(1, sequence.prompt_tokens + sequence.generated - reusable)
         self.running[sequence.sequence_id] = sequence
 
     def decode(self, sequence: Sequence) -> TokenEvent:
@@ -177,25 +180,28 @@
             del self.running[sequence.sequence_id]
         return TokenEvent(sequence.sequence_id, sequence.generated, last)
 
-    def remember(self, prefix: str, tokens: int) -> None:
-        """Keep a prompt prefix, dropping the ones used longest ago."""
+    def cache_prefix(self, prefix: str, tokens: int) -> None:
+        """Store a prompt prefix in the cache, and evict the least recently used ones."""
         if prefix in self.cache:
             self.cache.move_to_end(prefix)
             return
         self.cache[prefix] = tokens
         self.cache_used += tokens
-        self.note_cache(prefix, True)
+        self.record_cache_event(prefix, True)
         while self.cache_used > self.rates.cache_tokens and len(self.cache) > 1:
             dropped, size = self.cache.popitem(last=False)
             self.cache_used -= size
-            self.note_cache(dropped, False)
+            self.record_cache_event(dropped, False)
 
-    def note_cache(self, prefix: str, stored: bool) -> None:
+    def record_cache_event(self, prefix: str, stored: bool) -> None:
         number = self.cache_events[-1].sequence + 1 if self.cache_events else 1
         self.cache_events.append(CacheEvent(number, prefix, stored))
         del self.cache_events[:-1000]
 
 
-def urgency(sequence: Sequence) -> tuple[int, int]:
-    """Return what an engine admits by; the newest of the last priority goes first."""
+def admission_order(sequence: Sequence) -> tuple[int, int]:
+    """Return the key by which sequences are admitted, lowest first.
+
+    The highest key, the newest sequence of the least urgent priority, is preempted first.
+    """
     return (sequence.priority, sequence.order)
--- a/src/godwitmast/standins/fleet.py
+++ b/src/godwitmast/standins/fleet.py
@@ -1,4 +1,4 @@
-"""The stand-ins of the users' platform in one process: its store and its servers."""
+"""Stand-ins of the users' platform in one process: its store and backend servers."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -13,9 +13,10 @@
 
 @dataclass
 class FleetStandin:
-    """A store with a configuration, and the servers that it lists.
+    """A store that holds a configuration, and the backend servers listed in it.
 
-    It listens first for the store, and then for each server.
+    The store starts to listen first and the servers follow in order, so that their
+    addresses can be told apart in the log.
     """
 
     settings: FleetSettings
@@ -23,13 +24,13 @@
     def __post_init__(self) -> None:
         settings = self.settings
         self.config = msgspec.json.decode(Path(settings.config).read_bytes())
-        names = [service["name"] for service in self.config["services"]]
+        service_names = [service["name"] for service in self.config["services"]]
         self.store = StoreStandin(settings.listen)
         self.servers = [
-            self.make_server(f"engine-{n}", names[0], streams=True)
+            self.make_server(f"engine-{n}", service_names[0], streams=True)
             for n in range(settings.engines)
         ] + [
-            self.make_server(f"plain-{n}", names[1], streams=False)
+            self.make_server(f"plain-{n}", service_names[1], streams=False)
             for n in range(settings.plain)
         ]
 
--- a/src/godwitmast/standins/platform.py
+++ b/src/godwitmast/standins/platform.py
@@ -1,4 +1,8 @@
-"""A stand-in platform over HTTP: table, objects, orders, usage and lists."""
+"""A stand-in of the platform that `platform_api` calls, over HTTP, with faults.
+
+It offers the table, objects, orders of servers, the usage intake, and the lists of VMs
+and servers. The stand-ins of the users' platform are in `store` and `replica`.
+"""
 
 import json
 import random
@@ -36,14 +40,14 @@
 from godwitmast.types import Json
 
 LOST_ANSWER_S = 30.0
-"""How long a lost answer keeps its client waiting, which is longer than it waits."""
+"""Time for which a lost answer is held back; longer than the client's time-out."""
 
 SCAN_LIMIT = 1000
 
 
 @dataclass
 class PlatformFaults:
-    """What is wrong with the platform at the moment."""
+    """Faults that are switched on at the moment."""
 
     outage: bool = False
     slow_s: float = 0.0
@@ -53,8 +57,8 @@
 
 
 @dataclass
-class Bucket:
-    """A token bucket for the platform's limits."""
+class TokenBucket:
+    """Token bucket that limits the platform's reads or writes."""
 
     rate: float
     filled_at: float = 0.0
@@ -62,9 +66,9 @@
     def __post_init__(self) -> None:
         self.level = self.rate
 
-    def take(self, amount: float, now: float) -> bool:
-        grown = self.level + (now - self.filled_at) * self.rate
-        self.level = min(self.rate, grown)
+    def try_take(self, amount: float, now: float) -> bool:
+        refilled = self.level + (now - self.filled_at) * self.rate
+        self.level = min(self.rate, refilled)
         self.filled_at = now
         if self.level < amount:
             return False
@@ -74,7 +78,7 @@
 
 @dataclass
 class OrderedServer:
-    """A backend server that was ordered, and when its state changes."""
+    """A backend server that was ordered, and the times of its changes of state."""
 
     spare: SpareServer
     order_id: str
@@ -85,7 +89,7 @@
 
 @dataclass
 class StandinPlatform:
-    """The platform's interfaces, its records and its faults."""
+    """The platform's HTTP interface, its records and its faults."""
 
     settings: PlatformStandinSettings
     faults: PlatformFaults = field(default_factory=PlatformFaults)
@@ -94,13 +98,13 @@
     def __post_init__(self) -> None:
         settings = self.settings
         self.objects: dict[str, bytes] = {}
-        self.reads = Bucket(settings.reads_per_s)
-        self.writes = Bucket(settings.writes_per_s)
+        self.reads = TokenBucket(settings.reads_per_s)
+        self.writes = TokenBucket(settings.writes_per_s)
         self.random = random.Random(1)
         self.closing = anyio.Event()
         self.requests: dict[str, int] = {}
         self.order_log: list[dict[str, Any]] = []
-        self.usage_log: list[dict[str, Any]] = []
+        self.usage_reports: list[dict[str, Any]] = []
         self.servers: dict[str, OrderedServer] = {}
         self.orders: dict[str, str] = {}
         self.fence = 0
@@ -113,11 +117,11 @@
                 Route("/table/transact", self.transact, methods=["POST"]),
                 Route("/objects/{name:path}", self.get_object, methods=["GET"]),
                 Route("/objects/{name:path}", self.put_object, methods=["PUT"]),
-                Route("/orders", self.order, methods=["POST"]),
+                Route("/orders", self.execute_order, methods=["POST"]),
                 Route("/orders/{order_id}", self.get_order),
                 Route("/fleet", self.fleet),
                 Route("/vms", self.list_vms, methods=["GET"]),
-                Route("/usage", self.take_usage, methods=["POST"]),
+                Route("/usage", self.record_usage, methods=["POST"]),
                 Route("/_standin/faults", self.set_faults, methods=["POST"]),
                 Route("/_standin/evict", self.evict, methods=["POST"]),
                 Route("/_standin/vms", self.set_vm, methods=["POST"]),
@@ -126,14 +130,14 @@
         )
         if settings.config:
             self.load_config(Path(settings.config))
-        self.server = HttpServer(FaultGate(self), settings.listen, grace_s=1.0)
+        self.server = HttpServer(FaultMiddleware(self), settings.listen, grace_s=1.0)
 
     def load_config(self, path: Path) -> None:
-        """Put a first configuration in force, as version 1."""
+        """Put the configuration of a file in force, as version 1."""
         self.put_config(json.loads(path.read_text()))
 
     def put_config(self, document: Json) -> int:
-        """Accept a whole document, as if one patch had led to it; return its number."""
+        """Put a whole document in force as if by one patch; return its number."""
         parse_document(document)
         row = self.table.read([HEAD_KEY]).get(HEAD_KEY)
         if row is None:
@@ -160,29 +164,29 @@
 
     async def read(self, request: Request) -> Response:
         keys = (await request.json())["keys"]
-        if not self.reads.take(max(1, len(keys)), anyio.current_time()):
+        if not self.reads.try_take(max(1, len(keys)), anyio.current_time()):
             return throttled()
-        return JSONResponse({"rows": show_rows(self.table.read(keys).items())})
+        return JSONResponse({"rows": rows_by_key(self.table.read(keys).items())})
 
     async def scan(self, request: Request) -> Response:
         body = await request.json()
-        if not self.reads.take(1, anyio.current_time()):
+        if not self.reads.try_take(1, anyio.current_time()):
             return throttled()
         limit = min(int(body.get("limit", SCAN_LIMIT)), SCAN_LIMIT)
         found = self.table.scan(body["prefix"], body.get("after", ""), limit)
-        return JSONResponse({"rows": show_rows(found), "more": len(found) == limit})
+        return JSONResponse({"rows": rows_by_key(found), "more": len(found) == limit})
 
     async def transact(self, request: Request) -> Response:
         body = await request.json()
         writes = body.get("writes", {})
-        if not self.writes.take(max(1, len(writes)), anyio.current_time()):
+        if not self.writes.try_take(max(1, len(writes)), anyio.current_time()):
             return throttled()
         written, versions = self.table.transact(body.get("checks", {}), writes)
         await self.maybe_lose_answer()
         return JSONResponse({"versions": versions}, 200 if written else 409)
 
     async def maybe_lose_answer(self) -> None:
-        """Keep back the answer to a write that took effect, if so commanded."""
+        """Hold back the answer to a write that took effect, if the faults say so."""
         if self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
         elif self.random.random() >= self.faults.lose_answers_share:
@@ -191,7 +195,7 @@
             await self.closing.wait()
 
     async def get_object(self, request: Request) -> Response:
-        if not self.reads.take(1, anyio.current_time()):
+        if not self.reads.try_take(1, anyio.current_time()):
             return throttled()
         content = self.objects.get(request.path_params["name"])
         if content is None:
@@ -199,14 +203,14 @@
         return Response(content, media_type="application/octet-stream")
 
     async def put_object(self, request: Request) -> Response:
-        if not self.writes.take(1, anyio.current_time()):
+        if not self.writes.try_take(1, anyio.current_time()):
             return throttled()
         self.objects[request.path_params["name"]] = await request.body()
         await self.maybe_lose_answer()
         return JSONResponse({"ok": True})
 
-    async def order(self, request: Request) -> Response:
-        """Order one server in a zone, or release one; an order id counts once."""
+    async def execute_order(self, request: Request) -> Response:
+        """Order one server in a zone, or release one; a repeated order has no effect."""
         body = await request.json()
         now = anyio.current_time()
         fence = int(body["fence"])
@@ -230,7 +234,7 @@
         return JSONResponse({"backend_id": self.orders[body["order_id"]]})
 
     def release(self, backend_id: str, of_order: str | None) -> None:
-        """Take a server back, unless it was handed out again under another order."""
+        """Take a server back, unless another order has got it since."""
         server = self.servers.get(backend_id)
         if server is not None and of_order in (None, server.order_id):
             del self.servers[backend_id]
@@ -254,10 +258,10 @@
         """List the ordered servers with their states."""
         now = anyio.current_time()
         return JSONResponse(
-            {"servers": [self.show_server(s, now) for s in self.servers.values()]}
+            {"servers": [self.describe_server(s, now) for s in self.servers.values()]}
         )
 
-    def show_server(self, server: OrderedServer, now: float) -> dict[str, Any]:
+    def describe_server(self, server: OrderedServer, now: float) -> dict[str, Any]:
         state = "serving"
         if server.evict_at is not None:
             state = "leaving"
@@ -275,7 +279,7 @@
         }
 
     async def evict(self, request: Request) -> Response:
-        """Give the cheap servers of a zone notice; they go when it has passed."""
+        """Give the cheap servers of a zone notice; they are listed as leaving from now on."""
         body = await request.json()
         now = anyio.current_time()
         for server in self.servers.values():
@@ -284,18 +288,18 @@
         return JSONResponse({"ok": True})
 
     async def list_vms(self, request: Request) -> Response:
-        """List the VMs as they were a while ago."""
+        """List the VMs as they were `list_lag_s` ago."""
         now = anyio.current_time()
-        self.note_vms(now)
-        old = [
+        self.record_vms(now)
+        old_enough = [
             item
             for item in self.vm_history
             if item[0] <= now - self.settings.list_lag_s
         ]
-        listed = old[-1][1] if old else self.vm_history[0][1]
+        listed = old_enough[-1][1] if old_enough else self.vm_history[0][1]
         return JSONResponse({"vms": [vm._asdict() for vm in listed]})
 
-    def note_vms(self, now: float) -> None:
+    def record_vms(self, now: float) -> None:
         listed = list(self.vms.values())
         if not self.vm_history or self.vm_history[-1][1] != listed:
             self.vm_history.append((now, listed))
@@ -304,18 +308,18 @@
         """Add, change or remove a VM of the list."""
         body = await request.json()
         now = anyio.current_time()
-        self.note_vms(now)
+        self.record_vms(now)
         if body.get("state") == "gone":
             self.vms.pop(body["node"], None)
         else:
             self.vms[body["node"]] = VmEntry(**body)
-        self.note_vms(now)
+        self.record_vms(now)
         return JSONResponse({"ok": True})
 
-    async def take_usage(self, request: Request) -> Response:
-        """Record a usage report with who sent it."""
+    async def record_usage(self, request: Request) -> Response:
+        """Record a usage report and the time at which it came."""
         body = await request.json()
-        self.usage_log.append({**body, "at": anyio.current_time()})
+        self.usage_reports.append({**body, "at": anyio.current_time()})
         await self.maybe_lose_answer()
         return JSONResponse({"ok": True})
 
@@ -325,11 +329,11 @@
         return JSONResponse({"ok": True})
 
     async def records(self, request: Request) -> Response:
-        """Return what was asked of the platform since it started."""
+        """Return orders, usage reports, request counts and writes since the start."""
         return JSONResponse(
             {
                 "orders": self.order_log,
-                "usage": self.usage_log,
+                "usage": self.usage_reports,
                 "requests": self.requests,
                 "writes": self.table.writes,
             }
@@ -337,8 +341,8 @@
 
 
 @dataclass
-class FaultGate:
-    """Counts requests by node and plays outages in front of the platform."""
+class FaultMiddleware:
+    """Middleware that counts requests by node, and adds delays and outages."""
 
     platform: StandinPlatform
 
@@ -365,5 +369,5 @@
     return JSONResponse({"error": "throttled"}, 429)
 
 
-def show_rows(rows: Any) -> dict[str, Any]:
+def rows_by_key(rows: Any) -> dict[str, Any]:
     return {key: {"value": row.value, "version": row.version} for key, row in rows}
--- a/src/godwitmast/standins/replica.py
+++ b/src/godwitmast/standins/replica.py
@@ -1,4 +1,4 @@
-"""A stand-in of a backend server of the users' platform, with faults on command."""
+"""A stand-in of a backend server of the users' platform, with faults."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -17,15 +17,15 @@
     SERVER_LOAD,
 )
 from godwitmast.settings import Listen
-from godwitmast.standins.store import StoreStandin, read_all
+from godwitmast.standins.store import StoreStandin, read_body
 from godwitmast.types import Json
 
-SEAL = b"server-seal"
-"""Stands for the platform's signature of an answer, which callers check."""
+SEAL_HEADER = b"server-seal"
+"""Header that stands for the platform's signature of an answer, which callers check."""
 
 
-class Served(NamedTuple):
-    """A request as it came."""
+class ReceivedRequest(NamedTuple):
+    """A request as received."""
 
     method: str
     target: str
@@ -35,22 +35,22 @@
 
 @dataclass
 class ReplicaFaults:
-    """What is wrong with the server now."""
+    """Faults that are switched on at the moment."""
 
     status: int = 200
     sheds: bool = False
-    """It runs nothing, and says so."""
+    """It refuses every request with a header that says that it was not executed."""
     cut_after: int | None = None
-    """Its streams break off after so many events; a plain answer half-way."""
+    """Streams break off within the event after this number; plain answers half-way."""
     wrong_id: bool = False
-    """Its answers bear another request's id."""
+    """Its answers carry the attempt id of another request."""
     hangs: bool = False
-    """It never answers."""
+    """It accepts requests and never answers."""
 
 
 @dataclass
 class ReplicaStandin:
-    """A server that streams numbered events, or answers in one piece."""
+    """A backend server that streams numbered events, or answers in one piece."""
 
     store: StoreStandin
     server_id: str
@@ -61,10 +61,10 @@
     event_s: float = 0.01
     places: int = 8
     faults: ReplicaFaults = field(default_factory=ReplicaFaults)
-    served: list[Served] = field(default_factory=list)
+    served: list[ReceivedRequest] = field(default_factory=list)
     running: int = 0
     left: int = 0
-    """How many callers closed their connection before the answer's end."""
+    """Number of callers that closed their connection before the end of the answer."""
 
     def __post_init__(self) -> None:
         self.server = HttpServer(self, Listen(), grace_s=0.1)
@@ -76,8 +76,8 @@
     async def close(self) -> None:
         await self.server.close()
 
-    def say(self, state: str, **others: Json) -> None:
-        """Write this server's row."""
+    def say(self, state: str, **more_fields: Json) -> None:
+        """Write this server's row to the store; `more_fields` replace or add to it."""
         row = {
             "service": self.service,
             "address": f"127.0.0.1:{self.server.port}",
@@ -88,12 +88,12 @@
             "coldLeftMs": 0,
             "sequence": len(self.served),
         }
-        self.store.put_server(self.server_id, {**row, **others})
+        self.store.put_server(self.server_id, {**row, **more_fields})
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         if scope["type"] != "http":
             return
-        body = await read_all(receive)
+        body = await read_body(receive)
         headers = {name.decode(): value.decode() for name, value in scope["headers"]}
         if headers.get(EXPECT_INSTANCE, self.server_id) != self.server_id:
             await send_response(send, 421, [], b"")
@@ -104,18 +104,20 @@
         target = scope["raw_path"].decode()
         if scope["query_string"]:
             target += "?" + scope["query_string"].decode()
-        self.served.append(Served(scope["method"], target, headers, body))
+        self.served.append(ReceivedRequest(scope["method"], target, headers, body))
         self.running += 1
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self.watch, receive, tasks.cancel_scope)
+                tasks.start_soon(self.cancel_on_disconnect, receive, tasks.cancel_scope)
                 await self.answer(headers, send)
                 tasks.cancel_scope.cancel()
         finally:
             self.running -= 1
 
-    async def watch(self, receive: Receive, scope: anyio.CancelScope) -> None:
-        """Stop work when the caller closes its connection, as most servers do."""
+    async def cancel_on_disconnect(
+        self, receive: Receive, scope: anyio.CancelScope
+    ) -> None:
+        """Cancel the work when the caller closes its connection, as most servers do."""
         while (await receive())["type"] != "http.disconnect":
             pass
         self.left += 1
@@ -127,26 +129,28 @@
         attempt_id = "another" if self.faults.wrong_id else headers.get(ATTEMPT_ID, "")
         head = [
             (ATTEMPT_ID.encode(), attempt_id.encode()),
-            (SEAL, self.server_id.encode()),
+            (SEAL_HEADER, self.server_id.encode()),
             (SERVER_LOAD.encode(), f"{self.running},0,{self.places}".encode()),
         ]
         if self.streams and self.faults.status == 200:
-            await self.stream(int(headers.get(LAST_EVENT_ID, "0")), head, send)
+            await self.send_events(int(headers.get(LAST_EVENT_ID, "0")), head, send)
             return
         body = f"answer of {self.service}".encode()
         if self.faults.cut_after is None:
             await send_response(send, self.faults.status, head, body)
             return
         length = (b"content-length", str(len(body)).encode())
-        await self.open(send, self.faults.status, [*head, length])
+        await self.send_head(send, self.faults.status, [*head, length])
         half = body[: len(body) // 2]
         await send({"type": "http.response.body", "body": half, "more_body": True})
 
-    async def stream(
+    async def send_events(
         self, after: int, head: list[tuple[bytes, bytes]], send: Send
     ) -> None:
-        """Send the events past `after`; without its last message it is cut."""
-        await self.open(send, 200, [*head, (b"content-type", b"text/event-stream")])
+        """Send the events after number `after`; the fault `cut_after` breaks off the stream."""
+        await self.send_head(
+            send, 200, [*head, (b"content-type", b"text/event-stream")]
+        )
         for number in range(after + 1, self.events + 1):
             if self.faults.cut_after is not None and number > self.faults.cut_after:
                 half = f"id: {number}\nda".encode()
@@ -159,7 +163,7 @@
             await send({"type": "http.response.body", "body": event, "more_body": True})
         await send({"type": "http.response.body", "body": b""})
 
-    async def open(
+    async def send_head(
         self, send: Send, status: int, headers: list[tuple[bytes, bytes]]
     ) -> None:
         await send(
--- a/src/godwitmast/standins/service.py
+++ b/src/godwitmast/standins/service.py
@@ -1,4 +1,4 @@
-"""A stand-in plain service that records every call that it ran."""
+"""A stand-in of a plain service that records every call that it ran."""
 
 import hashlib
 import os
@@ -20,7 +20,7 @@
 
 @dataclass
 class ServiceFaults:
-    """What is wrong with the service at the moment."""
+    """Faults that are switched on at the moment."""
 
     work_s: float = 0.0
     break_after_run: int = 0
@@ -29,12 +29,12 @@
 
 
 class AnswerLost(Exception):
-    """The call ran and its answer is to be lost."""
+    """Raised to break the connection of a call that ran, so that its answer is lost."""
 
 
 @dataclass
 class StandinService:
-    """A service whose record tells what ran, and how often."""
+    """A service whose records show which calls ran, and how often."""
 
     settings: ServiceSettings
     records: list[dict[str, Any]] = field(default_factory=list)
@@ -60,7 +60,7 @@
         await self.server.close()
 
     async def call(self, request: Request) -> Response:
-        """Run a call: record it, take the time that it takes, answer."""
+        """Run a call: record it, work for `work_s`, answer."""
         body = await request.body()
         if self.faults.refuse:
             self.faults.refuse -= 1
--- a/src/godwitmast/standins/settings.py
+++ b/src/godwitmast/standins/settings.py
@@ -6,7 +6,7 @@
 
 
 class EngineSettings(NamedTuple):
-    """A stand-in engine."""
+    """Settings of a stand-in engine; load reports are served `load_lag_s` late."""
 
     listen: Listen = Listen()
     name: str = "engine"
@@ -22,7 +22,7 @@
 
 
 class ServiceSettings(NamedTuple):
-    """A stand-in plain service."""
+    """Settings of a stand-in plain service; a call takes `work_s`."""
 
     listen: Listen = Listen()
     name: str = "service"
@@ -31,10 +31,11 @@
 
 
 class FleetSettings(NamedTuple):
-    """A stand-in of the users' platform: a store, and backend servers that it lists.
+    """Settings of a stand-in of the users' platform: a store and backend servers.
 
     `config` is the file of the operator's configuration; its first service gets
-    `engines` servers that stream, its second one `plain` servers.
+    `engines` servers that stream, its second one `plain` servers. A stream has `events`
+    events, one every `event_s`.
     """
 
     config: str
@@ -48,7 +49,7 @@
 
 
 class SpareServer(NamedTuple):
-    """A server that the stand-in platform hands out when one is ordered."""
+    """A server that the stand-in platform provides when one is ordered."""
 
     backend_id: str
     url: str
@@ -66,7 +67,11 @@
 
 
 class PlatformStandinSettings(NamedTuple):
-    """The stand-in platform; rates are per second."""
+    """Settings of the stand-in platform.
+
+    Reads and writes are limited by the second. VMs are listed as they were `list_lag_s`
+    ago; an ordered server starts for `boot_s`.
+    """
 
     listen: Listen = Listen()
     reads_per_s: float = 2000.0
--- a/src/godwitmast/standins/store.py
+++ b/src/godwitmast/standins/store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the users' platform: its store, and its intake of usage."""
+"""A stand-in of the users' platform: its store, usage intake and orders of servers."""
 
 import base64
 import time
@@ -30,11 +30,12 @@
 from godwitmast.settings import Listen
 from godwitmast.types import Json
 
-FOREVER_S = 3600.0
+NO_ANSWER_S = 3600.0
+"""Time for which a call without an answer is held; longer than any caller waits."""
 
 
 class UsageReport(NamedTuple):
-    """A report as it came."""
+    """A usage report as received."""
 
     holder: str
     fence: int
@@ -43,7 +44,7 @@
 
 
 class ServersOrder(NamedTuple):
-    """An order for a number of servers as it came."""
+    """An order for a number of backend servers as received."""
 
     holder: str
     fence: int
@@ -55,23 +56,24 @@
 
 @dataclass
 class StoreFaults:
-    """What is wrong with the store now."""
+    """Faults that are switched on at the moment."""
 
     refused: int | None = None
-    """Every call is answered with this status, and nothing is done."""
+    """Status with which every call is refused; nothing is executed."""
     silent: bool = False
-    """No call is answered or done."""
+    """No call is executed or answered."""
     answers_lost: bool = False
-    """Calls are done, and their answers do not come."""
+    """Calls are executed, but not answered."""
     dry: bool = False
-    """No server that may be taken away is to be had."""
+    """Orders of spot servers are refused, as there are none."""
     late_s: float = 0.0
-    """Transactions without an answer are done so much later, if they still may."""
+    """If above 0, transactions get no answer and are executed after this delay, unless a
+    row has another version by then."""
 
 
 @dataclass
 class StoreStandin:
-    """Rows with one counter of versions, a feed of changes, and objects."""
+    """Rows that share one version counter, a feed of their changes, and objects."""
 
     listen: Listen = field(default_factory=Listen)
     rows: dict[tuple[str, str], StoredRow] = field(default_factory=dict)
@@ -82,8 +84,8 @@
     calls: list[str] = field(default_factory=list)
     faults: StoreFaults = field(default_factory=StoreFaults)
     version: int = 0
-    forgotten: int = 0
-    """The history up to this version is no longer told."""
+    compacted_version: int = 0
+    """Changes up to this version are no longer in the history."""
 
     def __post_init__(self) -> None:
         self.server = HttpServer(self, self.listen, grace_s=0.1)
@@ -99,26 +101,26 @@
         await self.server.close()
 
     def write(self, puts: list[StoredRow]) -> None:
-        """Put rows, or remove them, in one transaction."""
+        """Write or remove rows in one transaction, without checks."""
         self.version += 1
         for row in puts:
             row.ver = self.version
-            place = (row.table, row.key)
+            location = (row.table, row.key)
             if row.removed:
-                self.rows.pop(place, None)
+                self.rows.pop(location, None)
             else:
-                self.rows[place] = row
+                self.rows[location] = row
             self.history.append(row)
         self.changed.set()
         self.changed = anyio.Event()
 
     def put_config(self, config: Json) -> None:
-        """Write a configuration, as the operator does."""
+        """Write a configuration as the operator does."""
         self.put(OPERATOR_TABLE, CONFIG_KEY, msgspec.json.encode(config))
 
-    def put_server(self, server_id: str, said: Json) -> None:
-        """Write what a backend server says of itself."""
-        self.put(SERVERS_TABLE, server_id, msgspec.json.encode(said))
+    def put_server(self, server_id: str, row: Json) -> None:
+        """Write the row in which a backend server describes itself."""
+        self.put(SERVERS_TABLE, server_id, msgspec.json.encode(row))
 
     def remove_server(self, server_id: str) -> None:
         self.remove(SERVERS_TABLE, server_id)
@@ -131,24 +133,24 @@
         self.write([StoredRow(key, table, value=value)])
 
     def forget_history(self) -> None:
-        """Drop all changes so far, as the store may at any time."""
-        self.forgotten = self.version
+        """Drop the history of all changes so far, as the store may at any time."""
+        self.compacted_version = self.version
         self.history.clear()
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         if scope["type"] != "http":
             return
-        body = await read_all(receive)
+        body = await read_body(receive)
         path = scope["path"]
         self.calls.append(path)
         if self.faults.silent:
-            await anyio.sleep(FOREVER_S)
+            await anyio.sleep(NO_ANSWER_S)
         if self.faults.refused is not None:
             await send_json(send, self.faults.refused, {})
             return
         if path == TRANSACT and self.faults.late_s and self.tasks:
             self.tasks.start_soon(self.transact_later, body, self.faults.late_s)
-            await anyio.sleep(FOREVER_S)
+            await anyio.sleep(NO_ANSWER_S)
         await self.answer(scope, body, send)
 
     async def transact_later(self, body: bytes, wait_s: float) -> None:
@@ -174,37 +176,37 @@
             found = self.objects.get(path.removeprefix(GET_OBJECT))
             status, content = (404, b"") if found is None else (200, found)
         elif path == REPORT_USAGE:
-            self.take_report(scope, msgspec.json.decode(body))
+            self.record_report(scope, msgspec.json.decode(body))
         elif path == ORDER_SERVERS:
-            status = self.take_order(scope, msgspec.json.decode(body))
+            status = self.record_order(scope, msgspec.json.decode(body))
         else:
             status = 404
         if self.faults.answers_lost:
-            await anyio.sleep(FOREVER_S)
+            await anyio.sleep(NO_ANSWER_S)
         await send_response(
             send, status, [(b"content-type", b"application/json")], content
         )
 
-    def transact(self, asked: Json) -> tuple[int, bytes]:
-        """Do all of a transaction, or nothing."""
-        expected = asked["expected"]
+    def transact(self, transaction: Json) -> tuple[int, bytes]:
+        """Execute a transaction if all expected versions match; return status and body."""
+        expected = transaction["expected"]
         found = [self.rows.get((item["table"], item["key"])) for item in expected]
         versions = [row.ver if row else 0 for row in found]
         if versions != [item["ver"] for item in expected]:
-            return 412, self.encode([row for row in found if row])
+            return 412, self.encode_rows([row for row in found if row])
         puts = [
             StoredRow(item["key"], item["table"], value=item["value"])
-            for item in asked["puts"]
+            for item in transaction["puts"]
         ]
         gone = [
             StoredRow(item["key"], item["table"], removed=True)
-            for item in asked["remove"]
+            for item in transaction["remove"]
         ]
         self.write(puts + gone)
-        return 200, self.encode([])
+        return 200, self.encode_rows([])
 
     def read(self, query: dict[str, str]) -> bytes:
-        """Return the rows of a range."""
+        """Return the rows of a table in a range of keys, up to the limit asked for."""
         start, end = query.get("from", ""), query.get("to")
         rows = [
             row
@@ -212,57 +214,63 @@
             if table == query["table"] and key >= start and (end is None or key < end)
         ]
         limit = int(query.get("limit", "500"))
-        return self.encode(rows[:limit], len(rows) > limit)
+        return self.encode_rows(rows[:limit], len(rows) > limit)
 
     async def follow(self, query: dict[str, str]) -> tuple[int, bytes]:
-        """Return what changed after a version, once something has."""
+        """Return status and body of a call that waits for changes after a version.
+
+        It returns as soon as there are any, or none at the end of the wait. The status
+        is 410 if the history does not reach back to that version.
+        """
         after = int(query["afterRevision"])
         with anyio.move_on_after(int(query["waitMs"]) / 1000):
-            while after >= self.forgotten and not self.since(after, query["table"]):
+            while after >= self.compacted_version and not self.changes_after(
+                after, query["table"]
+            ):
                 await self.changed.wait()
-        if after < self.forgotten:
+        if after < self.compacted_version:
             return 410, b"{}"
-        return 200, self.encode(self.since(after, query["table"]))
+        return 200, self.encode_rows(self.changes_after(after, query["table"]))
 
-    def since(self, version: int, table: str) -> list[StoredRow]:
+    def changes_after(self, version: int, table: str) -> list[StoredRow]:
         return [row for row in self.history if row.ver > version and row.table == table]
 
-    def encode(self, rows: list[StoredRow], truncated: bool = False) -> bytes:
+    def encode_rows(self, rows: list[StoredRow], truncated: bool = False) -> bytes:
         now_ms = (time.monotonic() - self.started_at) * 1000
         return msgspec.json.encode(
             {"rows": rows, "truncated": truncated, "ver": self.version, "nowMs": now_ms}
         )
 
-    def take_order(self, scope: Scope, order: Json) -> int:
-        """Note an order; whoever plays the platform carries it out, or not."""
-        holder, fence = duty_of(scope)
+    def record_order(self, scope: Scope, order: Json) -> int:
+        """Record an order and return the status; a test starts the servers, or not."""
+        holder, fence = read_duty_headers(scope)
         spot = order.get("spot", False)
         if spot and self.faults.dry:
             return 409
         kind = "spot" if spot else "standard"
-        asked = order["service"], order["zone"], kind, order["desired"]
-        self.orders.append(ServersOrder(holder, fence, *asked))
+        requested = order["service"], order["zone"], kind, order["desired"]
+        self.orders.append(ServersOrder(holder, fence, *requested))
         return 200
 
-    def take_report(self, scope: Scope, report: Json) -> None:
-        holder, fence = duty_of(scope)
+    def record_report(self, scope: Scope, report: Json) -> None:
+        holder, fence = read_duty_headers(scope)
         self.reports.append(
             UsageReport(holder, fence, report["window"], report["counts"])
         )
 
 
-def duty_of(scope: Scope) -> tuple[str, int]:
-    """Return the holder and the fencing token that a call of a duty names."""
+def read_duty_headers(scope: Scope) -> tuple[str, int]:
+    """Return the holder and the fencing token from the headers of a duty's call."""
     headers = {name.decode(): value.decode() for name, value in scope["headers"]}
     return headers[DUTY_HOLDER.lower()], int(headers[FENCING_TOKEN.lower()])
 
 
-async def read_all(receive: Receive) -> bytes:
-    """Return a whole body."""
-    pieces = []
+async def read_body(receive: Receive) -> bytes:
+    """Return the whole body of a request."""
+    chunks = []
     more = True
     while more:
         message = await receive()
-        pieces.append(message.get("body", b""))
+        chunks.append(message.get("body", b""))
         more = message.get("more_body", False)
-    return b"".join(pieces)
+    return b"".join(chunks)
--- a/src/godwitmast/standins/table.py
+++ b/src/godwitmast/standins/table.py
@@ -1,4 +1,4 @@
-"""The stand-in platform's table and objects, without I/O."""
+"""The stand-in platform's table, without I/O."""
 
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
@@ -7,7 +7,7 @@
 
 
 class Row(NamedTuple):
-    """A value with the number of its last write."""
+    """A value and the version of its last write."""
 
     value: Any
     version: int
@@ -15,7 +15,7 @@
 
 @dataclass
 class Table:
-    """Rows under keys, written in transactions that compare versions first."""
+    """Rows by key, written in transactions that compare versions and set values."""
 
     rows: SortedDict = field(default_factory=SortedDict)
     writes: int = 0
@@ -39,9 +39,10 @@
     def transact(
         self, checks: dict[str, int], writes: dict[str, Any]
     ) -> tuple[bool, dict[str, int]]:
-        """Write all or nothing; a version of 0 in `checks` means no such row.
+        """Write all rows or none; a version of 0 in `checks` means no such row.
 
-        Return whether it was written, with the new versions or the ones in the way.
+        Return whether they were written, and the new versions of the rows or else the
+        present versions of those that fail their check.
         """
         current = {key: self.version(key) for key in checks}
         conflicts = {key: seen for key, seen in current.items() if seen != checks[key]}
@@ -54,8 +55,8 @@
                 self.rows.pop(key, None)
                 versions[key] = 0
             else:
-                # Numbers come from one counter, so a row that was deleted and made
-                # again never has a version that someone still holds.
+                # Versions come from one counter, so a row that was deleted and created
+                # again never has a version that a client has seen before.
                 self.rows[key] = Row(value, self.writes)
                 versions[key] = self.writes
         return True, versions
--- a/tests/test_standin_fleet.py
+++ b/tests/test_standin_fleet.py
@@ -1,4 +1,4 @@
-"""The stand-ins of the users' platform in one process, with a VM's process on them."""
+"""Tests of the stand-ins of the users' platform, and of a node that runs on them."""
 
 import asyncio
 import json
@@ -22,8 +22,12 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_change_at_the_end_of_a_wait_is_told_with_its_version() -> None:
-    """The store's answer had the new version and not the change, which was lost."""
+async def test_change_at_the_end_of_a_wait_is_returned_with_its_version() -> None:
+    """Guards against a change that followers lose.
+
+    A change at the moment the wait ends could give an answer with the new version but
+    without the change, so that the next call asked for later ones only.
+    """
     store = StoreStandin()
     store.put("op", "before", b"1")
     query = {"table": "op", "afterRevision": str(store.version), "waitMs": "20"}
@@ -35,13 +39,13 @@
 
         tasks.start_soon(follow)
         await anyio.sleep(0)
-        # Both are due at once, and the end of the wait comes first.
+        # Both timers are due in the same pass of the event loop, the end of the wait first.
         asyncio.get_running_loop().call_later(0.03, store.put, "op", "after", b"2")
         time.sleep(0.05)
     [(_, content)] = answers
     answer = msgspec.json.decode(content)
-    told = [row["key"] for row in answer["rows"]]
-    assert (told, answer["ver"]) in ((["after"], 2), ([], 1))
+    returned_keys = [row["key"] for row in answer["rows"]]
+    assert (returned_keys, answer["ver"]) in ((["after"], 2), ([], 1))
 
 
 async def test_node_serves_streams_and_plain_calls_of_a_standin_fleet(
@@ -51,8 +55,10 @@
     config.write_text(json.dumps(config_of(1)))
     settings = FleetSettings(str(config), engines=2, plain=1, events=7, event_s=0.001)
     async with running(FleetStandin(settings)) as fleet:
-        raw = settings_of(fleet.store.server.port)
-        node = Node(check_settings(raw, PlatformFile, "settings"), metrics_port=0)
+        node_settings = settings_of(fleet.store.server.port)
+        node = Node(
+            check_settings(node_settings, PlatformFile, "settings"), metrics_port=0
+        )
         async with running(node):
             with anyio.fail_after(READY_WITHIN_S):
                 while not node.app.ready:
