--- a/benchmarks/coordination_cost.py
+++ b/benchmarks/coordination_cost.py
@@ -1,11 +1,12 @@
-"""Measures what coordination costs and how quickly it acts, among real processes.
+"""Measures the cost and the delays of coordination among real processes.
 
     PYTHONPATH=src python benchmarks/coordination_cost.py [--peers] [--nodes 3] [--rounds 20]
 
-Some nodes, each an entry and a control, with the shipped timing, on one stand-in
-platform. Prints: time from acceptance to in force everywhere, from a withdrawal to the
-last byte on an open stream, the platform's reads and writes per node at rest and under
-load, what a claim adds to a call, recovery after an outage, and takeover of a lease.
+Each node is an entry and a control with the default timing, all on one stand-in platform.
+Prints: the time from acceptance of a change until it is in force on all entries, from the
+withdrawal of a key to the last byte on an open stream, the platform's reads and writes
+per node at rest and under load, the time that a claim adds to a call, recovery after an
+outage, and takeover of a lease.
 """
 
 import argparse
@@ -38,7 +39,7 @@
 from godwitmast.settings import PlatformSettings  # noqa: E402
 from processes import Process, Processes, free_port  # noqa: E402
 
-REST_S = 30.0
+COUNTED_S = 30.0
 OUTAGE_S = 10.0
 SETTLE_S = 25.0
 BEARER = {"Authorization": f"Bearer {dev_key('arima')}"}
@@ -51,7 +52,7 @@
 
 
 class Bench:
-    """The processes under measurement, and an operator's session."""
+    """The processes under measurement."""
 
     def __init__(
         self, processes: Processes, folder: Path, peers: bool, nodes: int
@@ -61,38 +62,46 @@
             spawn(f"engine-{n}", "godwitmast.standins.cli", "engine") for n in range(2)
         ]
         self.service = spawn("service", "godwitmast.standins.cli", "service")
-        first = folder / "config.json"
+        config_file = folder / "config.json"
         urls = [engine.url for engine in engines]
-        first.write_text(json.dumps(dev_document(urls, self.service.url)))
+        config_file.write_text(json.dumps(dev_document(urls, self.service.url)))
         self.platform = spawn(
             "platform",
             "godwitmast.standins.cli",
             "platform",
-            settings=f'config = "{first}"',
+            settings=f'config = "{config_file}"',
         )
         ports = [free_port() for _ in range(nodes)]
         self.entries: list[Process] = []
         self.controls: list[Process] = []
         for number in range(nodes):
-            base = (
+            node_settings = (
                 f'node = "n-{number}"\nzone = "z-{number}"\n'
                 f'platform.url = "{self.platform.url}"\n'
             )
-            mesh = ""
+            peers_settings = ""
             if peers:
                 seeds = json.dumps([f"127.0.0.1:{port}" for port in ports])
-                mesh = (
+                peers_settings = (
                     f'[peers]\ntls = "off"\nseeds = {seeds}\n'
                     f"[peers.listen]\nport = {ports[number]}\n"
                 )
             self.entries.append(
-                spawn(f"entry-{number}", "godwitmast.entry.cli", settings=base + mesh)
+                spawn(
+                    f"entry-{number}",
+                    "godwitmast.entry.cli",
+                    settings=node_settings + peers_settings,
+                )
             )
             self.controls.append(
-                spawn(f"control-{number}", "godwitmast.control.cli", settings=base)
+                spawn(
+                    f"control-{number}",
+                    "godwitmast.control.cli",
+                    settings=node_settings,
+                )
             )
 
-    async def ready(self, http: httpx.AsyncClient) -> None:
+    async def wait_ready(self, http: httpx.AsyncClient) -> None:
         for process in [*self.entries, *self.controls]:
             while (await http.get(f"{process.url}/readyz")).status_code != 200:
                 await anyio.sleep(0.05)
@@ -104,11 +113,11 @@
     async def records(self, http: httpx.AsyncClient) -> dict:
         return (await http.get(f"{self.platform.url}/_standin/records")).json()
 
-    async def fault(self, http: httpx.AsyncClient, **faults: object) -> None:
+    async def set_faults(self, http: httpx.AsyncClient, **faults: object) -> None:
         await http.post(f"{self.platform.url}/_standin/faults", json=faults)
 
 
-def show(name: str, seconds: list[float], unit: str = "s") -> None:
+def print_times(name: str, seconds: list[float], unit: str = "s") -> None:
     print(
         f"{name}: median {statistics.median(seconds):.3g} {unit}, "
         f"worst {max(seconds):.3g} {unit}, n={len(seconds)}",
@@ -116,8 +125,8 @@
     )
 
 
-async def in_force(bench: Bench, http: httpx.AsyncClient, rounds: int) -> None:
-    """From a patch's acceptance until every entry serves under it."""
+async def measure_in_force(bench: Bench, http: httpx.AsyncClient, rounds: int) -> None:
+    """Time from the acceptance of a patch until it is in force on every entry."""
     times = []
     async with PlatformClient(PlatformSettings(bench.platform.url), "ctl") as client:
         session = Session(client)
@@ -130,11 +139,13 @@
             while min(await bench.versions(http)) < outcome.number:
                 await anyio.sleep(0.005)
             times.append(time.monotonic() - accepted)
-    show("acceptance to in force on all entries", times)
+    print_times("acceptance to in force on all entries", times)
 
 
-async def withdrawal(bench: Bench, http: httpx.AsyncClient, rounds: int) -> None:
-    """From a withdrawal's acceptance until the last byte on an open stream."""
+async def measure_withdrawal(
+    bench: Bench, http: httpx.AsyncClient, rounds: int
+) -> None:
+    """Time from the withdrawal of a key to the last byte on a stream opened with it."""
     times = []
     async with PlatformClient(PlatformSettings(bench.platform.url), "ctl") as client:
         session = Session(client)
@@ -163,19 +174,21 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(read, url, key, ended)
                 await anyio.sleep(random.uniform(0.2, 2.5))
-                gone = {"keys": {hash_key(key): None}}
-                await session.edit(lambda document, g=gone: g, "withdraw")
+                withdrawal_patch = {"keys": {hash_key(key): None}}
+                await session.edit(lambda document, g=withdrawal_patch: g, "withdraw")
                 withdrawn = time.monotonic()
             times.append(ended[0] - withdrawn)
-    show("withdrawal to the last byte on an open stream", times)
+    print_times("withdrawal to the last byte on an open stream", times)
 
 
-async def rates(bench: Bench, http: httpx.AsyncClient, load: bool) -> None:
-    """Count what the nodes ask of the platform for a while."""
+async def measure_request_rates(
+    bench: Bench, http: httpx.AsyncClient, load: bool
+) -> None:
+    """Count the nodes' requests to the platform for `COUNTED_S`, and print the rates."""
     before = await bench.records(http)
     begun = time.monotonic()
     calls = 0
-    while time.monotonic() - begun < REST_S:
+    while time.monotonic() - begun < COUNTED_S:
         if not load:
             await anyio.sleep(0.5)
             continue
@@ -190,8 +203,8 @@
     for name, count in after["requests"].items():
         if name.startswith("n-"):
             kind = name.split(" ", 1)[1]
-            grown = count - before["requests"].get(name, 0)
-            counts[kind] = counts.get(kind, 0) + grown
+            increase = count - before["requests"].get(name, 0)
+            counts[kind] = counts.get(kind, 0) + increase
     per_node = {k: v / seconds / len(bench.entries) for k, v in sorted(counts.items())}
     writes = per_node.pop("table transact", 0.0) + per_node.pop("usage usage", 0.0)
     reads = sum(per_node.values())
@@ -204,8 +217,8 @@
     )
 
 
-async def claim_cost(bench: Bench, http: httpx.AsyncClient, calls: int) -> None:
-    """Alternate calls with and without a key."""
+async def measure_claim_cost(bench: Bench, http: httpx.AsyncClient, calls: int) -> None:
+    """Time calls with and without an idempotency key, in alternation."""
     url = f"{bench.entries[0].url}/services/{SERVICE}/charge"
     times: dict[bool, list[float]] = {True: [], False: []}
     for number in range(2 * calls):
@@ -216,15 +229,15 @@
         times[keyed].append(1000 * (time.perf_counter() - begun))
         assert answer.status_code == 200, answer.text
         await anyio.sleep(0.1)
-    show("call without a claim", times[False], "ms")
-    show("call with a claim", times[True], "ms")
+    print_times("call without a claim", times[False], "ms")
+    print_times("call with a claim", times[True], "ms")
 
 
-async def recovery(bench: Bench, http: httpx.AsyncClient) -> None:
-    """From the end of an outage until a claimed call runs on each entry again."""
-    await bench.fault(http, outage=True)
+async def measure_recovery(bench: Bench, http: httpx.AsyncClient) -> None:
+    """Time from the end of an outage until a claimed call runs on each entry again."""
+    await bench.set_faults(http, outage=True)
     await anyio.sleep(OUTAGE_S)
-    await bench.fault(http, outage=False)
+    await bench.set_faults(http, outage=False)
     begun = time.monotonic()
     times = []
     for number, entry in enumerate(bench.entries):
@@ -233,30 +246,31 @@
         while (await http.post(url, headers=headers)).status_code != 200:
             await anyio.sleep(0.02)
         times.append(time.monotonic() - begun)
-    show(f"recovery of claimed calls after {OUTAGE_S:.0f} s of outage", times)
+    print_times(f"recovery of claimed calls after {OUTAGE_S:.0f} s of outage", times)
 
 
-async def takeover(bench: Bench, http: httpx.AsyncClient) -> None:
-    """From the death of a lease's holder until another holds it."""
+async def measure_takeover(bench: Bench, http: httpx.AsyncClient) -> None:
+    """Time from the kill of the process that holds a lease until another one has it."""
 
-    async def row() -> dict:
+    async def read_lease() -> dict:
         body = {"keys": ["lease/usage"]}
         answer = await http.post(f"{bench.platform.url}/table/read", json=body)
         return answer.json()["rows"]["lease/usage"]["value"]
 
-    # The outage before this let the lease lapse; part of the wait would be over already.
+    # The lease expired in the outage of `measure_recovery`. Without this pause part of
+    # the wait for the next expiry could be over before the holder is killed.
     await anyio.sleep(SETTLE_S)
-    before = await row()
+    before = await read_lease()
     number = int(before["holder"].split("/")[0].removeprefix("n-"))
     bench.controls[number].kill()
     begun = time.monotonic()
-    while (await row())["fence"] == before["fence"]:
+    while (await read_lease())["fence"] == before["fence"]:
         await anyio.sleep(0.05)
     print(f"takeover of a dead holder's lease: {time.monotonic() - begun:.1f} s")
 
 
-def document_cost(teams: int) -> None:
-    """Processor time of a whole document and of one change to it."""
+def measure_document_cost(teams: int) -> None:
+    """Measure the processor time of parsing a whole document and of applying a change."""
     raw = dev_document(["http://127.0.0.1:1"], "http://127.0.0.1:2")
     raw["teams"] |= {f"team-{n}": {"weight": 1.0} for n in range(teams)}
     raw["keys"] |= {
@@ -277,8 +291,8 @@
         change.append(1000 * (time.process_time() - begun))
     assert state.version == 11
     print(f"document of {teams} teams and keys: {size / 1e6:.2f} MB of JSON")
-    show("  to check the whole document", whole, "ms")
-    show("  to put one change in force", change, "ms")
+    print_times("  to check the whole document", whole, "ms")
+    print_times("  to put one change in force", change, "ms")
 
 
 async def measure(options: argparse.Namespace, folder: Path) -> None:
@@ -289,14 +303,14 @@
         async with httpx.AsyncClient(
             timeout=60, trust_env=False, limits=limits
         ) as http:
-            await bench.ready(http)
-            await in_force(bench, http, options.rounds)
-            await withdrawal(bench, http, options.rounds // 2)
-            await rates(bench, http, load=False)
-            await rates(bench, http, load=True)
-            await claim_cost(bench, http, options.calls)
-            await recovery(bench, http)
-            await takeover(bench, http)
+            await bench.wait_ready(http)
+            await measure_in_force(bench, http, options.rounds)
+            await measure_withdrawal(bench, http, options.rounds // 2)
+            await measure_request_rates(bench, http, load=False)
+            await measure_request_rates(bench, http, load=True)
+            await measure_claim_cost(bench, http, options.calls)
+            await measure_recovery(bench, http)
+            await measure_takeover(bench, http)
     finally:
         processes.close()
 
@@ -309,7 +323,7 @@
     parser.add_argument("--calls", type=int, default=100)
     options = parser.parse_args()
     random.seed(1)
-    document_cost(6300)
+    measure_document_cost(6300)
     with tempfile.TemporaryDirectory() as folder:
         anyio.run(measure, options, Path(folder))
 
--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -1,11 +1,12 @@
-"""Measures an entry's processor time and added time to first byte, beside a bare
-pass-through, with both on the same engine in the same run.
+"""Measures the processor time that an entry uses and the time to first byte that it adds,
+against a bare pass-through on the same engine in the same run.
 
     PYTHONPATH=src python benchmarks/overhead.py [--requests 400] [--rounds 5]
     PYTHONPATH=src python benchmarks/overhead.py --adapter platform
 
 The entry, the pass-through, the engine and the platform are processes of their own.
-Rounds alternate between the two, so that what else the machine does meets both.
+Rounds alternate between entry and pass-through, so that other load on the machine affects
+both alike.
 """
 
 import argparse
@@ -30,21 +31,21 @@
 
 CHUNKS = 64
 CONNECTIONS = 8
-TICKS = os.sysconf("SC_CLK_TCK")
-ENGINE = "step_s = 0.0005\nsequence_s = 0.00001\nprompt_tokens_per_s = 1e6\n"
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+ENGINE_SETTINGS = "step_s = 0.0005\nsequence_s = 0.00001\nprompt_tokens_per_s = 1e6\n"
 EVENT_S = 0.0005
 
 
 class Call(NamedTuple):
-    """A streamed request, and what each chunk of a whole answer holds."""
+    """A streamed request, and the bytes that each chunk of its answer contains."""
 
     path: str
     headers: dict[str, str]
     body: bytes
-    mark: bytes
+    chunk_marker: bytes
 
 
-OWN_CALL = Call(
+OPENAI_CALL = Call(
     "/v1/chat/completions",
     {
         "Authorization": f"Bearer {dev_key('arima')}",
@@ -68,10 +69,10 @@
 
 
 def cpu_seconds(process: Process) -> float:
-    """Return the processor time that a process has used."""
+    """Return the seconds of processor time that a process has used."""
     fields = Path(f"/proc/{process.popen.pid}/stat").read_text().rsplit(") ", 1)[1]
     user, system = fields.split()[11:13]
-    return (int(user) + int(system)) / TICKS
+    return (int(user) + int(system)) / TICKS_PER_S
 
 
 async def request(client: httpx.AsyncClient, url: str, call: Call) -> float:
@@ -86,7 +87,7 @@
         async for chunk in answer.aiter_raw():
             first = first or time.perf_counter() - began
             text += chunk
-    assert text.count(call.mark) == CHUNKS, text
+    assert text.count(call.chunk_marker) == CHUNKS, text
     return first
 
 
@@ -96,7 +97,7 @@
 
 
 async def measure_cpu(process: Process, url: str, call: Call, requests: int) -> float:
-    """Return milliseconds of processor time a request, at a few connections."""
+    """Return milliseconds of processor time per request, over `CONNECTIONS` connections."""
     async with httpx.AsyncClient(timeout=60, trust_env=False) as client:
         await request(client, url, call)
         before = cpu_seconds(process)
@@ -107,7 +108,7 @@
 
 
 async def measure_first_byte(url: str, call: Call, requests: int) -> float:
-    """Return the median milliseconds to the first byte, at one connection."""
+    """Return the median milliseconds to the first byte, over one connection."""
     async with httpx.AsyncClient(timeout=60, trust_env=False) as client:
         await request(client, url, call)
         times = [await request(client, url, call) for _ in range(requests // 4)]
@@ -115,19 +116,19 @@
 
 
 class System(NamedTuple):
-    """What is compared: where the three listen, and the processes to measure."""
+    """The entry under measurement, its engine, and the request sent to both."""
 
     engine_url: str
     entry_url: str
     entry: Process
-    ready: str
+    ready_url: str
     call: Call
 
 
 def spawn_own(processes: Processes) -> System:
-    """Start an engine, the product's own platform, and an entry."""
+    """Start an engine, the stand-in platform of `platform_api`, and an entry."""
     engine = processes.spawn(
-        "engine", "godwitmast.standins.cli", "engine", settings=ENGINE
+        "engine", "godwitmast.standins.cli", "engine", settings=ENGINE_SETTINGS
     )
     platform = processes.spawn_platform(dev_document([engine.url], engine.url))
     entry = processes.spawn(
@@ -135,25 +136,25 @@
         "godwitmast.entry.cli",
         settings=f'node = "n"\nzone = "dev"\nplatform.url = "{platform.url}"\n',
     )
-    return System(engine.url, entry.url, entry, f"{entry.url}/readyz", OWN_CALL)
+    return System(engine.url, entry.url, entry, f"{entry.url}/readyz", OPENAI_CALL)
 
 
 def spawn_on_platform(processes: Processes) -> System:
-    """Start the stand-ins of the users' platform, and one VM's process on it."""
+    """Start the stand-ins of the users' platform and one node."""
     folder = processes.folder
-    first = folder / "config.json"
-    first.write_text(json.dumps(config_of(1)))
+    config_file = folder / "config.json"
+    config_file.write_text(json.dumps(config_of(1)))
     fleet = processes.spawn(
         "fleet",
         "godwitmast.standins.cli",
         "fleet",
-        settings=f'config = "{first}"\nevents = {CHUNKS}\nevent_s = {EVENT_S}\n',
+        settings=f'config = "{config_file}"\nevents = {CHUNKS}\nevent_s = {EVENT_S}\n',
     )
     store, engine = fleet.urls(2)
     settings = settings_of(int(store.rpartition(":")[2]))
     entry = processes.spawn("node", "godwitmast.platform", settings=as_toml(settings))
-    callers, ready = entry.urls(3)[:2]
-    return System(engine, callers, entry, ready + READY_PATH, PLATFORM_CALL)
+    callers_url, readiness_url = entry.urls(3)[:2]
+    return System(engine, callers_url, entry, readiness_url + READY_PATH, PLATFORM_CALL)
 
 
 def as_toml(table: dict[str, Any], name: str = "") -> str:
@@ -191,28 +192,31 @@
     """Print processor time and time to first byte of both, and their ratios."""
     call = system.call
     urls = {"engine": system.engine_url, "bare": bare.url, "entry": system.entry_url}
-    await wait_ready(system.ready)
-    cpu: dict[str, list[float]] = {"bare": [], "entry": []}
-    byte: dict[str, list[float]] = {"engine": [], "bare": [], "entry": []}
+    await wait_ready(system.ready_url)
+    cpu_ms: dict[str, list[float]] = {"bare": [], "entry": []}
+    first_byte_ms: dict[str, list[float]] = {"engine": [], "bare": [], "entry": []}
     for _ in range(rounds):
         for name, process in (("bare", bare), ("entry", system.entry)):
-            cpu[name].append(await measure_cpu(process, urls[name], call, requests))
+            cpu_ms[name].append(await measure_cpu(process, urls[name], call, requests))
         for name, url in urls.items():
-            byte[name].append(await measure_first_byte(url, call, requests))
-    for name, values in cpu.items():
-        print(f"cpu ms/request {name}: {show(values)}")
-    for name, values in byte.items():
-        print(f"first byte ms {name}: {show(values)}")
-    ratios = [e / b for e, b in zip(cpu["entry"], cpu["bare"], strict=True)]
-    print(f"cpu ratio entry/bare: {show(ratios)}")
+            first_byte_ms[name].append(await measure_first_byte(url, call, requests))
+    for name, values in cpu_ms.items():
+        print(f"cpu ms/request {name}: {summarize(values)}")
+    for name, values in first_byte_ms.items():
+        print(f"first byte ms {name}: {summarize(values)}")
+    ratios = [e / b for e, b in zip(cpu_ms["entry"], cpu_ms["bare"], strict=True)]
+    print(f"cpu ratio entry/bare: {summarize(ratios)}")
     added = {
-        name: [x - e for x, e in zip(byte[name], byte["engine"], strict=True)]
+        name: [
+            x - e
+            for x, e in zip(first_byte_ms[name], first_byte_ms["engine"], strict=True)
+        ]
         for name in ("bare", "entry")
     }
-    print(f"added first byte ms bare: {show(added['bare'])}")
-    print(f"added first byte ms entry: {show(added['entry'])}")
+    print(f"added first byte ms bare: {summarize(added['bare'])}")
+    print(f"added first byte ms entry: {summarize(added['entry'])}")
     pairs = zip(added["entry"], added["bare"], strict=True)
-    print(f"added first byte ratio: {show([e / b for e, b in pairs])}")
+    print(f"added first byte ratio: {summarize([e / b for e, b in pairs])}")
 
 
 async def wait_ready(url: str) -> None:
@@ -221,7 +225,7 @@
             await anyio.sleep(0.05)
 
 
-def show(values: list[float]) -> str:
+def summarize(values: list[float]) -> str:
     return (
         f"median {statistics.median(values):.2f}, "
         f"{min(values):.2f} to {max(values):.2f} in {len(values)} rounds"
