--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Puts the pinned runtime libraries and this checkout's package into target/deps.
+# Installs the pinned runtime libraries and this checkout's package into target/deps.
 set -eu
 deps=target/deps
 wanted=$(cksum deploy/requirements.txt)
@@ -12,6 +12,6 @@
 fi
 rm -rf "$deps/godwitmast"
 cp -r src/godwitmast "$deps/godwitmast"
-# Without compiled files each start would compile the package anew, as the checkout is
-# read-only to the process.
+# Compile ahead: the checkout is read-only to the process, which would otherwise compile
+# the package anew at each start.
 PYTHONDONTWRITEBYTECODE= python3 -m compileall -q "$deps/godwitmast"
