--- a/src/godwitmast/burn/__init__.py
+++ b/src/godwitmast/burn/__init__.py
@@ -1,1 +1,1 @@
-"""The service-level burn report."""
+"""The report of attainment and error-budget burn rates."""
--- a/src/godwitmast/burn/budget.py
+++ b/src/godwitmast/burn/budget.py
@@ -1,24 +1,24 @@
-"""Attainment and the burn of error budgets, from counters alone.
+"""Attainment and error-budget burn rates, computed from counters alone.
 
 The windows and their burn rates are those of "Alerting on SLOs" in The Site
 Reliability Workbook (Beyer et al., O'Reilly 2018, chapter 5): an alert needs a long
-window, so that it is worth waking someone for, and a short one, so that it ends soon
-after the trouble does.
+window, so that it fires only for significant losses, and a short one, so that it ends
+soon after the cause does.
 """
 
 from collections import defaultdict
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from godwitmast.burn.snapshot import Cell, ClassCell, Snapshot, growth
+from godwitmast.burn.snapshot import Cell, ClassCell, Snapshot, request_growth
 from godwitmast.entry.metrics import CALLER_CAUSED_OUTCOMES
 
 DEFAULT_GOAL = 0.95
-"""The goal of a class whose entry does not publish one."""
+"""Goal of a class for which no entry publishes one."""
 
 
 class AlertRule(NamedTuple):
-    """Both windows must burn at `burn` times the sustainable rate or faster."""
+    """An alert rule: it fires if the burn rate of both windows is at least `burn`."""
 
     severity: str
     long_s: float
@@ -32,17 +32,18 @@
     AlertRule("page", 6 * HOUR_S, 1800.0, 6.0),
     AlertRule("ticket", 72 * HOUR_S, 6 * HOUR_S, 1.0),
 )
-"""Spent of a 30 days' budget before each fires: 2 %, 5 % and 10 %.
+"""When they fire, 2 %, 5 % and 10 % of a 30-day budget is spent.
 
-A burn cannot pass 1 / (1 - goal): a class with a goal of 95 % burns at 20 at most, and
-one of 90 % never reaches 14.4. `reachable` says which rules can fire for a goal.
+A burn rate cannot exceed 1 / (1 - goal): it is at most 20 for a class with a goal of
+95 %, and with a goal of 90 % never reaches 14.4. `reachable_rules` returns the rules
+that can fire for a goal.
 """
 
 WINDOWS_S = (300.0, 1800.0, HOUR_S, 6 * HOUR_S, 72 * HOUR_S)
 
 
 class Tally(NamedTuple):
-    """How a group of requests ended."""
+    """Number of requests of a group by outcome."""
 
     total: float = 0.0
     met: float = 0.0
@@ -51,11 +52,11 @@
 
     @property
     def attainment(self) -> float | None:
-        """Return the share that met its targets; None if there were no requests."""
+        """Return the share that met its targets, or None without requests."""
         return self.met / self.total if self.total else None
 
-    def burn(self, goal: float) -> float | None:
-        """Return how many times faster than sustainable the budget goes."""
+    def burn_rate(self, goal: float) -> float | None:
+        """Return the burn rate; at 1 the budget lasts exactly for its period."""
         if not self.total:
             return None
         missed = 1 - self.met / self.total
@@ -80,8 +81,8 @@
     teams: dict[tuple[str, str], Tally]
 
 
-def tally(cells: Iterable[tuple[Cell, float]]) -> Tally:
-    """Return how the requests ended, without what is the callers' own doing."""
+def count_outcomes(cells: Iterable[tuple[Cell, float]]) -> Tally:
+    """Return the requests by outcome, without outcomes that callers caused."""
     total = met = late = 0.0
     for cell, value in cells:
         if cell.outcome == "own" or cell.outcome in CALLER_CAUSED_OUTCOMES:
@@ -93,10 +94,10 @@
 
 
 def report_window(snapshots: list[Snapshot], window_s: float) -> WindowReport:
-    """Return what came in the last `window_s` before the newest snapshot."""
+    """Return the requests that ended in `window_s` before the newest snapshot."""
     newest = snapshots[-1]
-    before = pick_start(snapshots, newest.at - window_s)
-    cells = growth(before, newest)
+    before = start_snapshot(snapshots, newest.at - window_s)
+    cells = request_growth(before, newest)
     classes: defaultdict[str, list[tuple[Cell, float]]] = defaultdict(list)
     teams: defaultdict[tuple[str, str], list[tuple[Cell, float]]] = defaultdict(list)
     for cell, value in cells.items():
@@ -108,15 +109,15 @@
     return WindowReport(
         window_s,
         covered,
-        {name: tally(items) for name, items in sorted(classes.items())},
-        {pair: tally(items) for pair, items in sorted(teams.items())},
+        {name: count_outcomes(items) for name, items in sorted(classes.items())},
+        {pair: count_outcomes(items) for pair, items in sorted(teams.items())},
     )
 
 
-def pick_start(snapshots: list[Snapshot], wanted: float) -> Snapshot | None:
-    """Return the newest snapshot from `wanted` or before, or else the oldest.
+def start_snapshot(snapshots: list[Snapshot], wanted: float) -> Snapshot | None:
+    """Return the newest snapshot taken at `wanted` or before, or else the oldest one.
 
-    With one snapshot there is no start: the counters' whole life is the window.
+    With a single snapshot it returns None: the window is the counters' whole lifetime.
     """
     if len(snapshots) < 2:
         return None
@@ -125,36 +126,36 @@
 
 
 def find_alerts(snapshots: list[Snapshot], goals: dict[str, float]) -> list[Alert]:
-    """Return every rule that fires, the most urgent first."""
+    """Return the alerts of every rule that fires, most urgent first."""
     alerts = []
     for rule in RULES:
-        long = report_window(snapshots, rule.long_s)
-        short = report_window(snapshots, rule.short_s)
-        for name, seen in long.classes.items():
+        long_window = report_window(snapshots, rule.long_s)
+        short_window = report_window(snapshots, rule.short_s)
+        for name, counts in long_window.classes.items():
             goal = goals.get(name, DEFAULT_GOAL)
-            slow = seen.burn(goal) or 0.0
-            fast = short.classes.get(name, Tally()).burn(goal) or 0.0
-            if min(slow, fast) >= rule.burn:
-                alerts.append(Alert(name, rule.severity, rule.long_s, slow))
+            long_burn = counts.burn_rate(goal) or 0.0
+            short_burn = short_window.classes.get(name, Tally()).burn_rate(goal) or 0.0
+            if min(long_burn, short_burn) >= rule.burn:
+                alerts.append(Alert(name, rule.severity, rule.long_s, long_burn))
     return alerts
 
 
-def reachable(goal: float) -> list[AlertRule]:
-    """Return the rules that can fire for a goal when nothing is met at all."""
+def reachable_rules(goal: float) -> list[AlertRule]:
+    """Return the rules that fire for a goal if no request meets its targets."""
     return [rule for rule in RULES if 1 / max(1 - goal, 1e-9) >= rule.burn]
 
 
 class WorstTeam(NamedTuple):
-    """The team that is served worst in a window."""
+    """The team and class with the lowest attainment in a window."""
 
     team: str
     class_name: str
     tally: Tally
 
 
-LEAST_REQUESTS = 20
-"""A team with fewer requests in the window is not ranked: one late answer of three
-would make it the worst served whatever the others get."""
+MIN_RANKED_REQUESTS = 20
+"""Teams with fewer requests in the window are not ranked: one late answer out of three
+would make a team the worst served, however the others are served."""
 
 
 def worst_team(report: WindowReport) -> WorstTeam | None:
@@ -162,6 +163,6 @@
     ranked = [
         WorstTeam(team, class_name, seen)
         for (team, class_name), seen in report.teams.items()
-        if seen.total >= LEAST_REQUESTS
+        if seen.total >= MIN_RANKED_REQUESTS
     ]
     return min(ranked, key=lambda w: (w.tally.attainment, w.team), default=None)
--- a/src/godwitmast/burn/cli.py
+++ b/src/godwitmast/burn/cli.py
@@ -44,16 +44,16 @@
     if not seen:
         typer.echo("error: give --url or a --snapshots file that holds some", err=True)
         raise typer.Exit(EXIT_USAGE)
-    made = make_report(seen)
+    result = make_report(seen)
     if page:
-        page.write_text(render_page(made))
+        page.write_text(render_page(result))
     if plot:
-        plot.write_bytes(render_png(made))
+        plot.write_bytes(render_png(result))
     if as_json_:
-        typer.echo(json.dumps(as_json(made), indent=2))
+        typer.echo(json.dumps(as_json(result), indent=2))
     else:
-        print_report(made, Console())
-    if made.alerts or made.silent:
+        print_report(result, Console())
+    if result.alerts or result.silent:
         raise typer.Exit(EXIT_FAILED)
 
 
@@ -64,15 +64,15 @@
     teams: Annotated[bool, typer.Option(help="With the counters by team.")] = True,
 ) -> None:
     """Scrape once and keep it: run it every few minutes for the long windows."""
-    taken = scrape(url, teams)
-    save(taken, to)
-    if taken.silent:
-        typer.echo(f"error: no answer from {', '.join(taken.silent)}", err=True)
+    scraped = scrape(url, teams)
+    save(scraped, to)
+    if scraped.silent:
+        typer.echo(f"error: no answer from {', '.join(scraped.silent)}", err=True)
         raise typer.Exit(EXIT_FAILED)
 
 
 def read_snapshots(urls: list[str] | None, path: Path | None) -> list[Snapshot]:
-    """Return what the file holds, and what the daemons say now."""
+    """Return the file's snapshots, and one that is scraped now."""
     try:
         seen = load(path) if path else []
     except (OSError, ValueError, KeyError, TypeError) as error:
--- a/src/godwitmast/burn/page.py
+++ b/src/godwitmast/burn/page.py
@@ -1,4 +1,4 @@
-"""The burn report as one HTML page, with its plot inside."""
+"""The burn report as one HTML page that contains its plot."""
 
 import html
 import io
@@ -11,10 +11,10 @@
 
 from godwitmast.burn.budget import DEFAULT_GOAL, RULES, Tally
 from godwitmast.burn.report import Report
-from godwitmast.burn.tables import print_report, show_span
+from godwitmast.burn.tables import format_duration, print_report
 
 COLOURS = ("#0072b2", "#d55e00", "#009e73", "#cc79a7", "#56b4e9", "#e69f00", "#555555")
-"""Okabe and Ito's colours, which colour-blind readers can tell apart."""
+"""Okabe and Ito's palette, which colour-blind readers can tell apart."""
 
 PAGE = """<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>Burn report</title>
@@ -33,7 +33,7 @@
 
 
 def render_page(report: Report) -> str:
-    """Return a page that needs no other file."""
+    """Return a page that refers to no other file."""
     when = time.strftime("%Y-%m-%d %H:%M:%S UTC", time.gmtime(report.at))
     return PAGE.format(
         when=when,
@@ -45,11 +45,11 @@
 
 
 def headline(report: Report) -> str:
-    """Return the one sentence that a person on call needs first."""
+    """Return the summary for a person on call: the alerts, or the worst-served team."""
     if report.alerts:
         return "; ".join(
             f"{a.severity.upper()}: {a.class_name} burns {a.burn:.1f} times too fast "
-            f"over {show_span(a.long_s)}"
+            f"over {format_duration(a.long_s)}"
             for a in report.alerts
         )
     worst = report.worst
@@ -85,7 +85,7 @@
 
 
 def draw(report: Report) -> Figure:
-    """Return attainment over time above, and burn by window below."""
+    """Return a figure of attainment over time and of burn rates by window."""
     figure = Figure(figsize=(10, 6.4), layout="constrained")
     above, below = figure.subplots(2, 1)
     names = list(report.windows[-1].classes)
@@ -106,7 +106,9 @@
     width = 0.8 / max(1, len(names))
     for number, name in enumerate(names):
         goal = report.goals.get(name, DEFAULT_GOAL)
-        burns = [w.classes.get(name, Tally()).burn(goal) or 0.0 for w in report.windows]
+        burns = [
+            w.classes.get(name, Tally()).burn_rate(goal) or 0.0 for w in report.windows
+        ]
         places = [n + number * width for n in range(len(burns))]
         colour = COLOURS[number % len(COLOURS)]
         bars = below.bar(places, burns, width, color=colour)
@@ -117,7 +119,7 @@
         place = below.get_yaxis_transform()
         below.text(0.995, rule.burn, text, transform=place, ha="right", fontsize=7)
     below.set_xticks([n + 0.4 - width / 2 for n in range(len(report.windows))])
-    below.set_xticklabels([show_span(w.window_s) for w in report.windows])
+    below.set_xticklabels([format_duration(w.window_s) for w in report.windows])
     below.set_ylabel("error-budget burn rate")
     below.set_xlabel("window")
     return figure
--- a/src/godwitmast/burn/report.py
+++ b/src/godwitmast/burn/report.py
@@ -1,4 +1,4 @@
-"""The burn report: what an operator looks at first, as one value."""
+"""The burn report as one value, computed from snapshots."""
 
 from typing import Any, NamedTuple
 
@@ -9,12 +9,12 @@
     WindowReport,
     WorstTeam,
     find_alerts,
-    pick_start,
-    reachable,
+    reachable_rules,
     report_window,
+    start_snapshot,
     worst_team,
 )
-from godwitmast.burn.snapshot import Snapshot, value_growth
+from godwitmast.burn.snapshot import Snapshot, series_growth
 
 GOAL = "godwit_attainment_goal"
 REPORT_LAG = "godwit_usage_report_lag_seconds"
@@ -22,10 +22,11 @@
 
 
 class Service(NamedTuple):
-    """What the callers got and what it cost, over the longest window.
+    """Service and cost over the longest window.
 
-    `report_lag_s` is how long after its end the last usage window was reported, and
-    `corrected_windows` how many hold usage that came late for an earlier one. None stands for what no daemon reported: it is not the same as nothing.
+    None means that no daemon reported the figure, which is not the same as zero.
+    `report_lag_s` is how long after its end the last usage window was reported.
+    `corrected_windows` is the number of windows with late usage of an earlier one.
     """
 
     met: float
@@ -49,7 +50,7 @@
 
 
 class Report(NamedTuple):
-    """Everything that the report shows; windows are in seconds, longest last."""
+    """All figures of the report; windows are in seconds, longest last."""
 
     at: float
     goals: dict[str, float]
@@ -62,7 +63,7 @@
 
 
 def make_report(snapshots: list[Snapshot]) -> Report:
-    """Return the report of snapshots that are sorted by time."""
+    """Return the report for snapshots that are sorted by time."""
     newest = snapshots[-1]
     windows = [report_window(snapshots, window) for window in WINDOWS_S]
     goals = read_goals(newest)
@@ -90,24 +91,24 @@
 
 
 def sum_service(snapshots: list[Snapshot], window: WindowReport) -> Service:
-    before = pick_start(snapshots, snapshots[-1].at - window.window_s)
+    before = start_snapshot(snapshots, snapshots[-1].at - window.window_s)
     newest = snapshots[-1]
 
-    def grown(name: str) -> float:
-        return value_growth(before, newest, name)
+    def increase(name: str) -> float:
+        return series_growth(before, newest, name)
 
     def reported(name: str) -> float | None:
         series = (s for values in newest.values.values() for s in values)
         known = any(s.partition("{")[0] == name for s in series)
-        return grown(name) if known else None
+        return increase(name) if known else None
 
     lags = [v[REPORT_LAG] for v in newest.values.values() if REPORT_LAG in v]
-    tokens = grown("godwit_server_tokens_total")
-    cheap = grown("godwit_server_tokens_total{kind=cheap}")
+    tokens = increase("godwit_server_tokens_total")
+    cheap = increase("godwit_server_tokens_total{kind=cheap}")
     return Service(
         sum(tally.met for tally in window.classes.values()),
-        grown("godwit_good_tokens_total"),
-        grown("godwit_wasted_tokens_total"),
+        increase("godwit_good_tokens_total"),
+        increase("godwit_wasted_tokens_total"),
         cheap / tokens if tokens else None,
         reported("godwit_spend_total"),
         max(lags, default=None),
@@ -133,14 +134,14 @@
 
 
 def as_json(report: Report) -> dict[str, Any]:
-    """Return the report for other programs; absent figures are null."""
+    """Return the report for other programs; figures not reported are null."""
     return {
         "at": report.at,
         "goals": report.goals,
         "windows": [window_json(w, report.goals) for w in report.windows],
         "alerts": [alert._asdict() for alert in report.alerts],
         "rules_reachable": {
-            name: [f"{rule.severity}/{rule.burn:g}" for rule in reachable(goal)]
+            name: [f"{rule.severity}/{rule.burn:g}" for rule in reachable_rules(goal)]
             for name, goal in report.goals.items()
         },
         "worst_team": worst_json(report.worst),
@@ -161,7 +162,7 @@
             name: tally._asdict()
             | {
                 "attainment": tally.attainment,
-                "burn": tally.burn(goals.get(name, DEFAULT_GOAL)),
+                "burn": tally.burn_rate(goals.get(name, DEFAULT_GOAL)),
             }
             for name, tally in window.classes.items()
         },
--- a/src/godwitmast/burn/snapshot.py
+++ b/src/godwitmast/burn/snapshot.py
@@ -1,4 +1,4 @@
-"""Counters of the entries at one moment, scraped or read from a file."""
+"""Counters of the daemons at one moment, scraped or read from a file."""
 
 import json
 import time
@@ -15,14 +15,14 @@
 
 
 class ClassCell(NamedTuple):
-    """Requests of a class that ended in one way."""
+    """Requests of a class with one outcome."""
 
     class_name: str
     outcome: str
 
 
 class TeamCell(NamedTuple):
-    """A team's requests of a class: `met`, `missed`, or the team's `own` doing."""
+    """A team's requests of a class: `met`, `missed`, or `own` (the team's doing)."""
 
     team: str
     class_name: str
@@ -46,7 +46,7 @@
 
 
 def scrape(urls: list[str], teams: bool = True) -> Snapshot:
-    """Return what the daemons at `urls` say of themselves now."""
+    """Return the present counters of the daemons at `urls`."""
     snapshot = Snapshot(time.time(), {}, {}, [])
     with httpx.Client(timeout=SCRAPE_TIMEOUT_S, trust_env=False) as client:
         for url in urls:
@@ -61,7 +61,7 @@
 
 
 def fetch(client: httpx.Client, url: str) -> str | None:
-    """Return a page, or None; a control has no page by team."""
+    """Return a page, or None without one: a control daemon has no page by team."""
     try:
         answer = client.get(url)
     except httpx.HTTPError:
@@ -70,7 +70,7 @@
 
 
 def read_metrics(snapshot: Snapshot, entry: str, text: str) -> None:
-    """Put one daemon's samples into a snapshot."""
+    """Add one daemon's samples to a snapshot."""
     cells = snapshot.cells.setdefault(entry, {})
     values = snapshot.values.setdefault(entry, {})
     for family in text_string_to_metric_families(text):
@@ -122,34 +122,34 @@
     return ClassCell(*names) if len(names) == 2 else TeamCell(*names)
 
 
-def growth(before: Snapshot | None, after: Snapshot) -> dict[Cell, float]:
-    """Return what came between two snapshots."""
-    grown: defaultdict[Cell, float] = defaultdict(float)
+def request_growth(before: Snapshot | None, after: Snapshot) -> dict[Cell, float]:
+    """Return how much each count of requests grew between two snapshots."""
+    totals: defaultdict[Cell, float] = defaultdict(float)
     for entry, cells in after.cells.items():
         old = before.cells.get(entry, {}) if before else {}
         for cell, value in cells.items():
-            grown[cell] += since(old.get(cell, 0.0), value)
-    return dict(grown)
+            totals[cell] += counter_growth(old.get(cell, 0.0), value)
+    return dict(totals)
 
 
-def value_growth(before: Snapshot | None, after: Snapshot, name: str) -> float:
+def series_growth(before: Snapshot | None, after: Snapshot, name: str) -> float:
     """Return how much a counter grew over all daemons.
 
     `name` is one series with its labels, or a bare name for all of its series.
     """
-    grown = 0.0
+    totals = 0.0
     for entry, values in after.values.items():
         old = before.values.get(entry, {}) if before else {}
         for series, value in values.items():
             if name in (series, series.partition("{")[0]):
-                grown += since(old.get(series, 0.0), value)
-    return grown
+                totals += counter_growth(old.get(series, 0.0), value)
+    return totals
 
 
-def since(was: float, now: float) -> float:
+def counter_growth(was: float, now: float) -> float:
     """Return how much a counter grew.
 
-    One that fell belongs to a process that started again, so all that it shows came
-    since then.
+    A counter that decreased belongs to a process that was restarted; its whole value
+    was counted since then.
     """
     return now - was if now >= was else now
--- a/src/godwitmast/burn/tables.py
+++ b/src/godwitmast/burn/tables.py
@@ -1,4 +1,4 @@
-"""The burn report in a terminal."""
+"""The burn report as tables in a terminal."""
 
 from rich.console import Console
 from rich.table import Table
@@ -6,11 +6,11 @@
 from godwitmast.burn.budget import DEFAULT_GOAL, Tally, WindowReport
 from godwitmast.burn.report import Report
 
-WORST_SHOWN = 10
+MAX_TEAMS_SHOWN = 10
 
 
 def print_report(report: Report, console: Console) -> None:
-    """Print alerts first, then classes, teams and money."""
+    """Print alerts first, then tables of classes, teams, service and spend."""
     for url in report.silent:
         console.print(f"[red]no answer from {url}: its requests are missing below")
     if not report.alerts:
@@ -18,7 +18,7 @@
     for alert in report.alerts:
         console.print(
             f"[bold red]{alert.severity}[/]: {alert.class_name} burns its budget "
-            f"{alert.burn:.1f} times too fast over {show_span(alert.long_s)}"
+            f"{alert.burn:.1f} times too fast over {format_duration(alert.long_s)}"
         )
     console.print(class_table(report))
     console.print(team_table(report.windows[-1]))
@@ -26,53 +26,53 @@
 
 
 def class_table(report: Report) -> Table:
-    """Return attainment and burn by class over every window."""
+    """Return attainment and burn rate by class and window."""
     table = Table(title="Attainment and burn by class")
     table.add_column("class")
     table.add_column("goal")
     for window in report.windows:
-        table.add_column(heading(window))
+        table.add_column(window_heading(window))
     for name in report.windows[-1].classes:
         goal = report.goals.get(name, DEFAULT_GOAL)
         cells = [
-            show_tally(window.classes.get(name, Tally()), goal)
+            format_tally(window.classes.get(name, Tally()), goal)
             for window in report.windows
         ]
         table.add_row(name, f"{goal:.1%}", *cells)
     return table
 
 
-def heading(window: WindowReport) -> str:
-    """Return a window's name, and how much of it the snapshots cover."""
-    name = show_span(window.window_s)
+def window_heading(window: WindowReport) -> str:
+    """Return a window's length, and how much of it the snapshots cover."""
+    name = format_duration(window.window_s)
     if window.covered_s >= window.window_s:
         return name
-    covered = show_span(window.covered_s) if window.covered_s else "since start"
+    covered = format_duration(window.covered_s) if window.covered_s else "since start"
     return f"{name} ({covered})"
 
 
-def show_tally(tally: Tally, goal: float) -> str:
+def format_tally(tally: Tally, goal: float) -> str:
     if tally.attainment is None:
         return "-"
-    return f"{tally.attainment:.2%}, burn {tally.burn(goal):.1f}"
+    return f"{tally.attainment:.2%}, burn {tally.burn_rate(goal):.1f}"
 
 
 def team_table(window: WindowReport) -> Table:
-    """Return the teams served worst."""
-    table = Table(title=f"Worst-served teams, {heading(window)}")
+    """Return the teams with the lowest attainment."""
+    table = Table(title=f"Worst-served teams, {window_heading(window)}")
     for name in ("team", "class", "met", "requests"):
         table.add_column(name)
     ranked = sorted(
         (item for item in window.teams.items() if item[1].total),
         key=lambda item: (item[1].attainment, item[0]),
     )
-    for (team, class_name), tally in ranked[:WORST_SHOWN]:
+    for (team, class_name), tally in ranked[:MAX_TEAMS_SHOWN]:
         table.add_row(team, class_name, f"{tally.attainment:.2%}", f"{tally.total:.0f}")
     return table
 
 
 def service_table(report: Report) -> Table:
-    """Return goodput, waste, spend, cheap work and usage windows."""
+    """Return goodput, waste, spend, the share of cheap servers and usage windows."""
     service = report.service
     table = Table(title="Service and spend")
     table.add_column("what")
@@ -97,7 +97,7 @@
     return table
 
 
-def show_span(seconds: float) -> str:
+def format_duration(seconds: float) -> str:
     if seconds >= 3600:
         return f"{seconds / 3600:.3g} h"
     if seconds >= 60:
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -1,4 +1,4 @@
-"""The burn report: windows, restarts, alerts, the worst-served team, and its forms."""
+"""The burn report: windows, restarts, alerts, worst-served team, output formats."""
 
 import json
 import re
@@ -13,7 +13,7 @@
     RULES,
     Tally,
     find_alerts,
-    reachable,
+    reachable_rules,
     report_window,
     worst_team,
 )
@@ -40,7 +40,7 @@
 GOAL_SERIES = "godwit_attainment_goal{class_name=question}"
 
 
-def at(
+def snapshot_at(
     minute: float, met: float, shed: float, entry: str = "e1", **more: float
 ) -> Snapshot:
     cells: dict[Cell, float] = {
@@ -54,50 +54,66 @@
 
 
 def test_a_window_counts_only_what_came_in_it() -> None:
-    report = report_window([at(0, 100, 0), at(60, 300, 50), at(65, 390, 60)], 300.0)
+    report = report_window(
+        [snapshot_at(0, 100, 0), snapshot_at(60, 300, 50), snapshot_at(65, 390, 60)],
+        300.0,
+    )
     assert report.classes["question"] == Tally(100, 90, 0, 10)
     assert report.covered_s == 300.0
 
 
 def test_a_short_history_says_how_much_of_the_window_it_covers() -> None:
-    report = report_window([at(0, 100, 0), at(2, 110, 0)], 3600.0)
+    report = report_window([snapshot_at(0, 100, 0), snapshot_at(2, 110, 0)], 3600.0)
     assert report.covered_s == 120.0
     assert report.classes["question"].total == 10
 
 
 def test_an_entry_that_started_again_loses_no_requests() -> None:
     """
-    An entry VM is replaced between two scrapes, and its counters start at nothing.
-    Taking the difference would count fewer than no requests and hide what was missed.
+    An entry VM is replaced between two scrapes, and its counters restart at zero. The
+    plain difference would be negative and hide the requests that missed their targets.
     """
-    report = report_window([at(0, 1000, 100), at(5, 40, 8)], 300.0)
+    report = report_window([snapshot_at(0, 1000, 100), snapshot_at(5, 40, 8)], 300.0)
     assert report.classes["question"] == Tally(48, 40, 0, 8)
 
 
-def test_what_callers_did_themselves_spends_no_budget() -> None:
-    report = report_window([at(0, 0, 0)], 300.0)
+def test_outcomes_that_callers_caused_spend_no_budget() -> None:
+    report = report_window([snapshot_at(0, 0, 0)], 300.0)
     assert report.classes["question"].attainment is None
 
 
 def test_a_page_needs_the_long_and_the_short_window() -> None:
     """
-    A class missed its targets for a while and has been well since. An alert on the
-    long window alone would go on for the rest of the hour; one on the short alone
-    would wake someone for each bad minute.
+    A class missed its targets for a while and has met them since. An alert on the long
+    window alone would fire for the rest of the hour; one on the short window alone would
+    page someone for each bad minute.
     """
-    burning = [at(0, 0, 0), at(55, 1000, 250), at(60, 1090, 280)]
+    burning = [
+        snapshot_at(0, 0, 0),
+        snapshot_at(55, 1000, 250),
+        snapshot_at(60, 1090, 280),
+    ]
     assert {a.severity for a in find_alerts(burning, {"question": 0.99})} >= {"page"}
-    over = [at(0, 0, 0), at(25, 1000, 500), at(55, 1900, 500), at(60, 2000, 500)]
+    over = [
+        snapshot_at(0, 0, 0),
+        snapshot_at(25, 1000, 500),
+        snapshot_at(55, 1900, 500),
+        snapshot_at(60, 2000, 500),
+    ]
     assert not [
         a for a in find_alerts(over, {"question": 0.99}) if a.severity == "page"
     ]
-    calm = [at(0, 0, 0), at(55, 10_000, 10), at(60, 11_000, 11)]
+    calm = [
+        snapshot_at(0, 0, 0),
+        snapshot_at(55, 10_000, 10),
+        snapshot_at(60, 11_000, 11),
+    ]
     assert find_alerts(calm, {"question": 0.99}) == []
 
 
-def test_a_rule_that_a_goal_can_never_reach_is_not_counted_on() -> None:
-    assert reachable(0.99) == list(RULES)
-    assert [rule.burn for rule in reachable(0.90)] == [6.0, 1.0]
+def test_a_rule_that_a_goal_can_never_reach_is_excluded() -> None:
+    assert reachable_rules(0.99) == list(RULES)
+    assert [rule.burn for rule in reachable_rules(0.90)] == [6.0, 1.0]
 
 
 def test_the_worst_served_team_has_enough_requests_to_be_judged() -> None:
@@ -115,38 +131,42 @@
 
 def test_snapshots_come_back_from_their_file_in_order(tmp_path: Path) -> None:
     path = tmp_path / "snapshots"
-    for snapshot in (at(5, 10, 1), at(0, 1, 0)):
+    for snapshot in (snapshot_at(5, 10, 1), snapshot_at(0, 1, 0)):
         save(snapshot, path)
-    assert load(path) == [at(0, 1, 0), at(5, 10, 1)]
+    assert load(path) == [snapshot_at(0, 1, 0), snapshot_at(5, 10, 1)]
 
 
 def test_figures_that_nobody_reported_are_not_zero() -> None:
-    made = as_json(make_report([at(0, 1, 0), at(5, 10, 1)]))
+    made = as_json(make_report([snapshot_at(0, 1, 0), snapshot_at(5, 10, 1)]))
     assert made["service"]["report_lag_s"] is None
     assert made["service"]["spend"] is None
     named = {"godwit_spend_total{kind=cheap}": 4.0, "godwit_spend_total{kind=x}": 5.0}
-    again = as_json(make_report([at(0, 1, 0), at(5, 10, 1, **named)]))
+    again = as_json(make_report([snapshot_at(0, 1, 0), snapshot_at(5, 10, 1, **named)]))
     assert again["service"]["spend"] == 9.0
     assert again["service"]["spend_per_1000_met"] == pytest.approx(1000.0)
 
 
-def test_the_page_stands_alone_and_says_what_fires() -> None:
-    page = render_page(make_report([at(0, 0, 0), at(55, 10, 90), at(60, 20, 190)]))
+def test_the_page_is_self_contained_and_names_its_alerts() -> None:
+    page = render_page(
+        make_report(
+            [snapshot_at(0, 0, 0), snapshot_at(55, 10, 90), snapshot_at(60, 20, 190)]
+        )
+    )
     assert "PAGE: question burns" in page
     assert "<svg" in page
     assert "src=" not in page
     assert "<link" not in page
-    assert render_png(make_report([at(0, 1, 0)])).startswith(b"\x89PNG")
+    assert render_png(make_report([snapshot_at(0, 1, 0)])).startswith(b"\x89PNG")
 
 
 def test_an_alert_or_a_silent_entry_is_an_exit_code(tmp_path: Path) -> None:
     path = tmp_path / "snapshots"
-    save(at(0, 0, 0), path)
-    save(at(5, 100, 0), path)
+    save(snapshot_at(0, 0, 0), path)
+    save(snapshot_at(5, 100, 0), path)
     calm = CliRunner().invoke(app, ["report", "--snapshots", str(path), "--json"])
     assert calm.exit_code == 0
     assert json.loads(calm.output)["alerts"] == []
-    save(at(6, 100, 100), path)
+    save(snapshot_at(6, 100, 100), path)
     assert CliRunner().invoke(app, ["report", "--snapshots", str(path)]).exit_code == 1
     assert CliRunner().invoke(app, ["report"]).exit_code == 2
     missing = str(tmp_path / "none")
@@ -191,7 +211,7 @@
             await http.post(f"{url}/v1/chat/completions", json=body, headers=headers)
         urls = [url, "http://127.0.0.1:1"]
         after = await anyio.to_thread.run_sync(scrape, urls)
-        # The second scrape proves that the figures do not come from scraping.
+        # The second scrape shows that scraping itself adds no requests.
         assert after.silent == ["http://127.0.0.1:1"]
     report = make_report([before, after])
     longest = report.windows[-1]
