--- a/src/godwitmast/ctl/cli.py
+++ b/src/godwitmast/ctl/cli.py
@@ -20,7 +20,7 @@
 )
 from godwitmast.config.parsing import parse_document
 from godwitmast.config.patch import differences
-from godwitmast.ctl.session import CommandFailed, Edit, Session, Waited, new_patch
+from godwitmast.ctl.session import CommandFailed, Edit, Session, WaitResult, new_patch
 from godwitmast.daemons import EXIT_FAILED, EXIT_USAGE
 from godwitmast.errors import ConfigInvalid, PlatformError
 from godwitmast.keys.hashing import KEY_PREFIX, generate_key, hash_key
@@ -32,9 +32,9 @@
 EXIT_CONFLICT = 3
 """The patch was made against a number that is no longer in force."""
 EXIT_STRAGGLERS = 4
-"""Accepted, but not in force everywhere in time."""
+"""Accepted, but not in force on every entry before the time-out."""
 EXIT_UNKNOWN = 5
-"""Perhaps accepted: repeat with the same `--id`."""
+"""Accepted or not: repeat the command with the same `--id`."""
 
 app = typer.Typer(add_completion=False, no_args_is_help=True)
 
@@ -59,7 +59,7 @@
 
 
 def run(platform: str, work: Callable[[Session], Awaitable[int]]) -> None:
-    """Run one command against the platform, and end with its exit code."""
+    """Run one command against the platform, and exit with its code."""
 
     async def main() -> int:
         async with PlatformClient(PlatformSettings(platform), "godwitctl") as client:
@@ -123,7 +123,7 @@
 async def conclude(
     session: Session, outcome: ChangeOutcome, wait: bool, timeout: float
 ) -> int:
-    """Tell the operator what became of a change, and return the exit code."""
+    """Print the outcome of a change, and return the exit code."""
     match outcome:
         case Accepted(number):
             typer.echo(f"accepted as version {number}")
@@ -143,7 +143,7 @@
 
 
 def tell_stale(stale: Stale) -> None:
-    """Say what others changed since, and where that meets the patch."""
+    """Print the changes since the patch's version, and the paths that both change."""
     typer.echo(
         f"conflict: made against version {stale.against}, "
         f"but version {stale.current} is in force. Nothing was changed.",
@@ -159,7 +159,7 @@
     typer.echo(f"  paths that both change: {shared}", err=True)
 
 
-def tell_waited(waited: Waited) -> int:
+def tell_waited(waited: WaitResult) -> int:
     if not waited.stragglers:
         typer.echo(f"in force on {waited.nodes} entries after {waited.seconds:.1f} s")
         return 0
@@ -255,7 +255,7 @@
 
 
 def edit(platform: str, make: Edit, reason: str, wait: bool, timeout: float) -> None:
-    """Run a command that means the same whatever others changed meanwhile."""
+    """Run a command whose meaning does not depend on concurrent changes."""
 
     async def work(session: Session) -> int:
         outcome = await session.edit(make, reason)
@@ -273,8 +273,8 @@
     platform: PlatformOption = DEFAULT_PLATFORM,
 ) -> None:
     """Withdraw a key; open streams of its callers end within seconds."""
-    given = sys.stdin.read().strip() if key == "-" else key
-    digest = hash_key(given) if given.startswith(KEY_PREFIX) else given
+    text = sys.stdin.read().strip() if key == "-" else key
+    digest = hash_key(text) if text.startswith(KEY_PREFIX) else text
 
     def make(document: Json) -> Json:
         if digest not in document.get("keys", {}):
@@ -356,7 +356,7 @@
 
 
 def read_json(file: Path) -> Json:
-    """Return the JSON in a file, or end the program saying what is wrong."""
+    """Return the JSON in a file, or print the error and exit."""
     try:
         return json.loads(sys.stdin.read() if str(file) == "-" else file.read_text())
     except (OSError, ValueError) as error:
--- a/src/godwitmast/ctl/session.py
+++ b/src/godwitmast/ctl/session.py
@@ -1,4 +1,4 @@
-"""What an operator's command asks of the platform."""
+"""Reads and changes of the configuration by an operator's command."""
 
 import getpass
 import secrets
@@ -33,17 +33,17 @@
     load_node,
 )
 
-WAIT_POLL_S = 0.25
-SETTLE_TRIES = 5
-EDIT_TRIES = 8
+WAIT_POLL_INTERVAL_S = 0.25
+PATCH_ATTEMPTS = 5
+EDIT_ATTEMPTS = 8
 
 
 class CommandFailed(GodwitError):
-    """A command cannot be carried out; the text says why."""
+    """A command cannot be carried out; the message says why."""
 
 
 class Straggler(NamedTuple):
-    """An entry that does not say that a number is in force there."""
+    """An entry that has not reported the awaited version as in force."""
 
     node: str
     zone: str
@@ -52,8 +52,8 @@
 
 
 @dataclass
-class Waited:
-    """How long it took until a number was in force, and where it is not yet."""
+class WaitResult:
+    """How long it took until a version was in force, and the entries where it is not."""
 
     seconds: float
     nodes: int
@@ -61,18 +61,18 @@
 
 
 Edit = Callable[[Json], Json]
-"""From the document in force to the merge patch that an operator wants."""
+"""Builds an operator's merge patch from the document in force."""
 
 
 class Session:
-    """One operator's use of the platform."""
+    """One command's access to the platform."""
 
     def __init__(self, platform: PlatformClient) -> None:
         self.platform = platform
         self.state = ConfigState()
 
     async def current(self) -> ConfigState:
-        """Return the configuration as the table has it now."""
+        """Return the configuration that the table holds now."""
         if not await run_steps(self.platform, catch_up(self.state)):
             raise CommandFailed("the platform does not answer; nothing was changed")
         if self.state.current is None:
@@ -96,9 +96,9 @@
         return changes
 
     async def patch(self, patch: Patch) -> ChangeOutcome:
-        """Send a patch, and again with the same id while its outcome is unknown."""
+        """Send a patch, and resend it with the same id while its outcome is unknown."""
         outcome: ChangeOutcome = OutcomeUnknown()
-        for _ in range(SETTLE_TRIES):
+        for _ in range(PATCH_ATTEMPTS):
             outcome = await run_steps(self.platform, propose(self.state, patch))
             if not isinstance(outcome, OutcomeUnknown):
                 break
@@ -106,13 +106,13 @@
         return outcome
 
     async def edit(self, make: Edit, reason: str) -> ChangeOutcome:
-        """Make a patch against whatever is in force, and anew after a conflict.
+        """Build a patch against the version in force, and rebuild it after a conflict.
 
-        Only for changes that mean the same whatever others changed meanwhile, such as
+        Only for changes whose meaning does not depend on concurrent changes, such as
         withdrawing one key.
         """
         outcome: ChangeOutcome = OutcomeUnknown()
-        for _ in range(EDIT_TRIES):
+        for _ in range(EDIT_ATTEMPTS):
             state = await self.current()
             assert state.current is not None, "checked by `current`"
             patch = new_patch(state.version, make(state.current.raw), reason)
@@ -138,30 +138,35 @@
         """Return the starts of the windows last frozen and last reported."""
         rows = await self.platform.read([HEAD_KEY, REPORTED_KEY])
         frozen = rows[HEAD_KEY].value["frozen"] if HEAD_KEY in rows else None
-        sent = rows[REPORTED_KEY].value["start"] if REPORTED_KEY in rows else None
-        return frozen, sent
+        reported = rows[REPORTED_KEY].value["start"] if REPORTED_KEY in rows else None
+        return frozen, reported
 
-    async def wait(self, number: int, timeout_s: float) -> Waited:
-        """Wait until every entry says that `number` is in force there."""
-        begun = time.monotonic()
-        first: dict[str, int] = {}
+    async def wait(self, number: int, timeout_s: float) -> WaitResult:
+        """Wait until every entry reports that version `number` is in force."""
+        started = time.monotonic()
+        first_sequence: dict[str, int] = {}
         while True:
             nodes = await self.nodes()
             for node in nodes:
-                first.setdefault(node.incarnation, node.sequence)
+                first_sequence.setdefault(node.incarnation, node.sequence)
             behind = [
-                Straggler(n.node, n.zone, n.config, first[n.incarnation] == n.sequence)
+                Straggler(
+                    n.node,
+                    n.zone,
+                    n.config,
+                    first_sequence[n.incarnation] == n.sequence,
+                )
                 for n in nodes
                 if n.config < number
             ]
-            waited = time.monotonic() - begun
+            waited = time.monotonic() - started
             if not behind or waited > timeout_s:
-                return Waited(waited, len(nodes), behind)
-            await anyio.sleep(WAIT_POLL_S)
+                return WaitResult(waited, len(nodes), behind)
+            await anyio.sleep(WAIT_POLL_INTERVAL_S)
 
 
 def new_patch(against: int, body: Json, reason: str, patch_id: str = "") -> Patch:
-    """Return a patch with an id of its own and its author's name."""
+    """Return a patch with the author's name, and a random id unless one is given."""
     author = f"{getpass.getuser()}@{HOSTNAME}"
     name = patch_id or secrets.token_hex(8)
     return Patch(name, against, body, author, time.time(), reason)
--- a/tests/test_ctl.py
+++ b/tests/test_ctl.py
@@ -19,7 +19,7 @@
 
 
 async def ctl(system: DevSystem, *args: str, text: str | None = None) -> Result:
-    """Run godwitctl in a thread, since it brings an event loop of its own."""
+    """Run godwitctl in a thread, since it runs an event loop of its own."""
     command = [*args, "--platform", system.platform.server.url]
     return await run_sync(partial(CliRunner().invoke, app, command, input=text))
 
@@ -27,7 +27,7 @@
 async def test_stale_patch_gets_a_conflict_that_shows_what_others_changed(
     system: DevSystem,
 ) -> None:
-    """Two operators look at version 1; the second one to write must not win."""
+    """Two operators read version 1; the second write must not overwrite the first."""
     async with running(system):
         one = json.dumps({"teams": {"arima": {"weight": 2.0}}})
         two = json.dumps({"teams": {"arima": {"weight": 3.0}, "couva": {"weight": 4}}})
