--- a/src/godwitmast/dev/__init__.py
+++ b/src/godwitmast/dev/__init__.py
@@ -1,1 +1,1 @@
-"""Everything in one process, for a newcomer's first minute."""
+"""The whole system in one process, to try it out."""
--- a/src/godwitmast/dev/cli.py
+++ b/src/godwitmast/dev/cli.py
@@ -22,7 +22,7 @@
 ) -> None:
     """Run the whole system in this process, serve some requests, and report.
 
-    Exit codes: 0 every answer came whole, 1 some did not, 2 bad usage.
+    Exit codes: 0 every answer was complete, 1 some were not, 2 bad usage.
     """
     if serve:
         typer.echo(f"keys: {', '.join(dev_key(team) for team in TEAMS)}")
--- a/src/godwitmast/dev/demo.py
+++ b/src/godwitmast/dev/demo.py
@@ -1,4 +1,4 @@
-"""Requests of a newcomer's first minute, and the table that sums them up."""
+"""Sample requests of `godwit-dev`, and tables of their results."""
 
 import statistics
 import time
@@ -17,7 +17,7 @@
 
 
 class Sample(NamedTuple):
-    """What one caller saw."""
+    """Result of one request, as its caller saw it."""
 
     team: str
     class_name: str
@@ -28,7 +28,7 @@
 
 
 async def run_demo(console: Console) -> bool:
-    """Serve real streamed requests and print the tables; return whether all came."""
+    """Send streamed requests and print the tables; return whether all were answered."""
     system = DevSystem()
     samples: list[Sample] = []
     async with anyio.create_task_group() as tasks:
@@ -46,7 +46,7 @@
 
 
 async def call_as(team: str, url: str, samples: list[Sample]) -> None:
-    """Send a team's requests through the stock client, one after another."""
+    """Send a team's requests with the unmodified OpenAI client, one after another."""
     async with AsyncOpenAI(base_url=f"{url}/v1", api_key=dev_key(team)) as client:
         for number in range(REQUESTS_PER_TEAM):
             class_name = CLASSES[number % len(CLASSES)]
@@ -54,7 +54,7 @@
 
 
 async def call(client: AsyncOpenAI, team: str, class_name: str, number: int) -> Sample:
-    """Send one streamed request, and return what came of it."""
+    """Send one streamed request, and return its result."""
     length = 20 if class_name == "question" else 120
     began = time.monotonic()
     first = None
@@ -73,8 +73,8 @@
             tokens += 1
     total = time.monotonic() - began
     first = first if first is not None else total
-    whole = tokens == length
-    met = whole and (class_name != "question" or first <= FIRST_TOKEN_TARGET_S)
+    complete = tokens == length
+    met = complete and (class_name != "question" or first <= FIRST_TOKEN_TARGET_S)
     return Sample(team, class_name, first, total, tokens, met)
 
 
@@ -83,19 +83,19 @@
     for heading in ("class", "requests", "met", "first token, median", "tokens"):
         table.add_column(heading)
     for class_name in CLASSES:
-        mine = [s for s in samples if s.class_name == class_name]
+        of_class = [s for s in samples if s.class_name == class_name]
         table.add_row(
             class_name,
-            str(len(mine)),
-            f"{attainment(mine):.0%}",
-            f"{statistics.median(s.first_token_s for s in mine) * 1000:.0f} ms",
-            str(sum(s.tokens for s in mine)),
+            str(len(of_class)),
+            f"{attainment(of_class):.0%}",
+            f"{statistics.median(s.first_token_s for s in of_class) * 1000:.0f} ms",
+            str(sum(s.tokens for s in of_class)),
         )
     return table
 
 
 def team_table(samples: list[Sample]) -> Table:
-    """Return the worst-served team beside all of them."""
+    """Return a table of the worst-served team's attainment and that of all teams."""
     by_team = {team: [s for s in samples if s.team == team] for team in TEAMS}
     worst = min(by_team, key=lambda team: (attainment(by_team[team]), team))
     table = Table(title="Worst-served team")
--- a/src/godwitmast/dev/document.py
+++ b/src/godwitmast/dev/document.py
@@ -11,12 +11,12 @@
 
 
 def dev_key(team: str) -> str:
-    """Return a team's key; it is good only inside this one process."""
+    """Return a team's key, which is valid only within this process."""
     return f"gw-dev-{team}"
 
 
 def dev_document(engine_urls: list[str], service_url: str) -> dict[str, Any]:
-    """Return a configuration for servers that already listen."""
+    """Return a configuration for servers that are already listening."""
     backends: dict[str, Any] = {
         f"engine-{number}": {"url": url, "zone": "dev", "pools": [MODEL]}
         for number, url in enumerate(engine_urls, 1)
--- a/src/godwitmast/dev/system.py
+++ b/src/godwitmast/dev/system.py
@@ -23,7 +23,7 @@
 
 
 class DevSystem:
-    """What `godwit-dev` and the tests run; ports come from the system."""
+    """The system of `godwit-dev` and the tests, on ports that the OS assigns."""
 
     def __init__(self, engines: int = 3, entries: int = 1) -> None:
         self.platform = StandinPlatform(PlatformStandinSettings())
@@ -37,7 +37,7 @@
         self.controls: list[Control] = []
 
     async def start(self, tasks: TaskGroup) -> None:
-        """Start the outside systems, put a configuration in force, then the rest."""
+        """Start the stand-ins, store a configuration, then start the daemons."""
         for standin in self.standins:
             await standin.start(tasks)
         urls = [engine.server.url for engine in self.engines]
@@ -54,7 +54,7 @@
             await entry.follower.ready.wait()
 
     def put_config(self, document: dict[str, Any]) -> None:
-        """Accept a whole configuration, as the platform's operators would."""
+        """Store a whole configuration, as the platform's operators would."""
         self.platform.put_config(document)
 
     @property
@@ -66,7 +66,7 @@
         return [*self.entries, *self.controls]
 
     async def close(self) -> None:
-        """Close the daemons first, as the outside systems outlive them."""
+        """Close the daemons first, since real external systems outlive them."""
         await close_all(self.daemons)
         await close_all(self.standins)
 
