--- a/src/godwitmast/platform/__init__.py
+++ b/src/godwitmast/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Runs the product on the Piggy Bank Pals platform: this package only translates."""
+"""Adapter that translates between the Piggy Bank Pals platform and this router."""
--- a/src/godwitmast/platform/__main__.py
+++ b/src/godwitmast/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Starts the process of one VM from the settings file that the platform wrote."""
+"""Entry point of one VM's process, with the settings file that the platform wrote."""
 
 import os
 import sys
@@ -15,7 +15,7 @@
 
 
 def serve(path: Path | None = None, check: bool = False) -> int:
-    """Serve callers on one VM until told to stop; return the exit code."""
+    """Serve callers on one VM until SIGTERM or SIGINT; return the exit code."""
     path = path or Path(os.environ.get(FILE_VARIABLE, "settings.toml"))
     try:
         settings = load_settings(path, PlatformFile)
@@ -31,9 +31,10 @@
 
 
 def main() -> None:
-    """Serve, or read the command line first if there is one.
+    """Serve, after parsing the command line if there are arguments.
 
-    What reads it takes megabytes, and the platform starts a VM's process without any.
+    The library that parses it takes megabytes of memory, and the platform starts a VM's
+    process without arguments.
     """
     if sys.argv[1:]:
         from godwitmast.platform.cli import run
--- a/src/godwitmast/platform/catalog.py
+++ b/src/godwitmast/platform/catalog.py
@@ -1,4 +1,4 @@
-"""The operator's configuration and the servers' own rows, as the product's types."""
+"""Conversion of the platform's configuration and server rows to the router's types."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -37,41 +37,42 @@
 from godwitmast.routes.table import Route, RouteTable, Split
 from godwitmast.types import ClassName, PoolName, ZoneName
 
-LOWEST_PRIORITY = 9
-"""The largest number that engines take."""
+MAX_ENGINE_PRIORITY = 9
+"""Largest priority number that engines accept; 0 is the most urgent."""
 
-TIERS = 99
-"""As many as a configuration of the product's can have."""
+TIER_COUNT = 99
+"""Number of tiers that a configuration of the router may have."""
 
-FAST_TOKENS_PER_MS = 200.0
-"""Copied at this rate, a part arrives several times sooner than any engine reads it."""
+MIN_COPY_TOKENS_PER_MS = 200.0
+"""At this rate a copy takes a fraction of the time that any engine needs for prefill."""
 
-PATIENCE_S, PATIENCE_AIMS, PATIENCE_GAPS = 2.0, 4.0, 8.0
-"""Callers leave a stream after the longest of two seconds, four times the aim for its
-first event, and eight times that for the pause between events, as the platform says."""
+MIN_PATIENCE_S, PATIENCE_FIRST_EVENT_FACTOR, PATIENCE_GAP_FACTOR = 2.0, 4.0, 8.0
+"""By the platform's specification, callers disconnect from a stream after the longest of
+two seconds, four times the target for the first event, and eight times the target for
+the gap between events."""
 
 
 class ColdBounds(NamedTuple):
-    """What a cold server gets in one second at most.
+    """Limit on the requests a second to one cold server.
 
-    That is `over` times the rate that its service bears, and `slack` requests more.
+    It is `factor` times the rate that the service states, plus `extra_requests`.
     """
 
-    over: float = 1.0
-    slack: float = 0.0
+    factor: float = 1.0
+    extra_requests: float = 0.0
 
 
 class Catalog(NamedTuple):
-    """A configuration of the operator's, with what the product's has no place for."""
+    """The operators' configuration, with what the router's document has no field for."""
 
     config: NumberedConfig
     routes: RouteTable
     limits: WireLimits
-    priorities: dict[str, int]
-    """The priority of each team that has one, which goes before its route's."""
+    team_priorities: dict[str, int]
+    """Priority of each team that has one; it takes precedence over the route's."""
     ranks: "Ranks"
-    fleets: dict[PoolName, ZonalLimits]
-    """What may be ordered of each service whose servers may be ordered at all."""
+    order_limits: dict[PoolName, ZonalLimits]
+    """Order limits of each service whose servers may be ordered."""
 
 
 def read_config(content: bytes, bounds: ColdBounds = ColdBounds()) -> Catalog:
@@ -81,9 +82,9 @@
     except msgspec.DecodeError as error:
         raise ConfigInvalid(str(error)) from None
     tenants = wire.tenants or []
-    priorities = {t.name: t.priority for t in tenants if t.priority is not None}
+    team_priorities = {t.name: t.priority for t in tenants if t.priority is not None}
     routes = [make_route(item, wire.tenants is None) for item in wire.routes]
-    ranks = Ranks({route.priority for route in routes}, set(priorities.values()))
+    ranks = Ranks({route.priority for route in routes}, set(team_priorities.values()))
     document = Document(
         classes=make_classes(wire.routes, ranks),
         teams={tenant.name: Team() for tenant in tenants},
@@ -106,32 +107,32 @@
         NumberedConfig(wire.version, document, None),
         RouteTable(routes),
         wire.limits,
-        priorities,
+        team_priorities,
         ranks,
-        make_fleets(wire.services),
+        make_order_limits(wire.services),
     )
 
 
 def copies_fast(engine: WireEngine) -> bool:
-    """Return whether engines copy parts of prompts faster than they read them."""
+    """Return whether engines copy cached prompt parts faster than they prefill them."""
     bits = 8.0 * engine.kv_token_bytes
-    return bits > 0 and engine.link_mbps * 1000 / bits > FAST_TOKENS_PER_MS
+    return bits > 0 and engine.link_mbps * 1000 / bits > MIN_COPY_TOKENS_PER_MS
 
 
 def make_cold_start(service: WireService, bounds: ColdBounds) -> ColdStart | None:
-    """Return what a service's cold servers bear; None if it names no bound."""
+    """Return the limits for a service's cold servers, or None if it states none."""
     rate, start_s = service.cold_per_s, service.cold_start_s
     if not (rate > 0 and start_s > 0):
         return None
-    return ColdStart(rate, rate * bounds.over + bounds.slack, start_s)
+    return ColdStart(rate, rate * bounds.factor + bounds.extra_requests, start_s)
 
 
 class Ranks:
-    """The order of all pairs of a team's and a route's priority, 0 first.
+    """Ranks of all pairs of a team's and a route's priority, 0 being the most urgent.
 
-    A team's priority goes before its route's. Where all teams have the same, as they
-    mostly do, the routes' would be lost, and a long summary be as urgent as a question;
-    so it decides between requests of equal teams.
+    A team's priority takes precedence over its route's. Most teams have the same one,
+    and by it alone a long summary would be as urgent as a question; so the route's
+    priority decides between teams of equal priority.
     """
 
     def __init__(self, routes: set[int], teams: set[int]) -> None:
@@ -139,24 +140,26 @@
             {(route, route) for route in routes}
             | {(team, route) for team in teams for route in routes}
         )
-        crowd = max(1.0, len(pairs) / TIERS)
-        self.ranks = {pair: int(place / crowd) for place, pair in enumerate(pairs)}
+        pairs_per_tier = max(1.0, len(pairs) / TIER_COUNT)
+        self.ranks = {
+            pair: int(position / pairs_per_tier) for position, pair in enumerate(pairs)
+        }
 
     def of(self, route: int, team: int | None) -> int:
         return self.ranks[(route if team is None else team, route)]
 
     def for_route(self, route: int) -> set[int]:
-        """Return every rank that a request of a route can have."""
+        """Return all ranks that requests of routes with this priority can have."""
         return {rank for pair, rank in self.ranks.items() if pair[1] == route}
 
 
 def engine_priority(route_priority: int) -> int:
-    """Return what an engine orders a route's requests by, 0 first.
+    """Return the priority that engines get for a route's requests, 0 the most urgent.
 
-    It depends on nothing else, so that VMs that hold other configurations, and streams
-    that began under an earlier one, are ordered alike inside an engine.
+    It depends on the route's priority alone, so that inside an engine requests compare
+    alike that come from VMs with other configurations, or began under an earlier one.
     """
-    return min(max(route_priority, 0), LOWEST_PRIORITY)
+    return min(max(route_priority, 0), MAX_ENGINE_PRIORITY)
 
 
 def make_route(wire: WireRoute, without_keys: bool) -> Route:
@@ -184,10 +187,10 @@
 
 
 def class_name(wire: WireRoute, rank: int) -> ClassName:
-    """Return the class of a route's requests: alike in rank and aims, alike in name.
+    """Return the name of the class of a route's requests, from their rank and targets.
 
-    A class a route would make hundreds of queues of hundreds of routes that want the
-    same.
+    Routes with equal targets share a class: one class for each route would create
+    hundreds of queues for hundreds of routes with the same requirements.
     """
     shape = "stream" if wire.kind == STREAMING else "plain"
     gap = f"-gap{wire.gap_aim_ms:g}" if wire.gap_aim_ms else ""
@@ -195,7 +198,7 @@
 
 
 def with_rank(name: ClassName, rank: int) -> ClassName:
-    """Return the class of the same aims at another rank."""
+    """Return the name of the class with the same targets at another rank."""
     return ClassName(f"{name.rpartition('-p')[0]}-p{rank}")
 
 
@@ -211,18 +214,22 @@
 
 
 def make_class(route: WireRoute, rank: int) -> RequestClass:
-    aim_s = route.slo_ms / 1000
+    target_s = route.slo_ms / 1000
     priority = engine_priority(route.priority)
     if route.kind != STREAMING:
-        return RequestClass(1 + rank, completion_s=aim_s, engine_priority=priority)
+        return RequestClass(1 + rank, completion_s=target_s, engine_priority=priority)
     gap_s = route.gap_aim_ms / 1000 if route.gap_aim_ms else None
-    patience_s = max(PATIENCE_S, PATIENCE_AIMS * aim_s, PATIENCE_GAPS * (gap_s or 0.0))
+    patience_s = max(
+        MIN_PATIENCE_S,
+        PATIENCE_FIRST_EVENT_FACTOR * target_s,
+        PATIENCE_GAP_FACTOR * (gap_s or 0.0),
+    )
     return RequestClass(
-        1 + rank, aim_s, gap_s, patience_s=patience_s, engine_priority=priority
+        1 + rank, target_s, gap_s, patience_s=patience_s, engine_priority=priority
     )
 
 
-def make_fleets(services: list[WireService]) -> dict[PoolName, ZonalLimits]:
+def make_order_limits(services: list[WireService]) -> dict[PoolName, ZonalLimits]:
     return {
         PoolName(item.name): ZonalLimits(
             item.scale_limits.min,
@@ -245,7 +252,7 @@
 
 
 def read_evacuations(rows: Mapping[str, bytes]) -> frozenset[ZoneName]:
-    """Return the zones whose servers are to get no new work, by their rows' names."""
+    """Return the zones whose servers get no new work, from the keys of their rows."""
     return frozenset(
         ZoneName(key.removeprefix(EVACUATE_PREFIX))
         for key in rows
@@ -254,7 +261,7 @@
 
 
 def read_servers(rows: Mapping[str, bytes]) -> dict[str, Backend]:
-    """Return the servers that their rows name; a row that cannot be read names none."""
+    """Return the registered servers by id, without those whose row cannot be read."""
     servers: dict[str, Backend] = {}
     for server_id, content in rows.items():
         server = read_server(server_id, content)
@@ -270,8 +277,8 @@
         log_event("server_row_bad", server=server_id, error=str(error))
         return None
     host, _, port = wire.address.rpartition(":")
-    named = host and port.isdecimal() and wire.batch_slots > 0
-    if wire.state not in (READY, DRAINING) or not named:
+    is_usable = host and port.isdecimal() and wire.batch_slots > 0
+    if wire.state not in (READY, DRAINING) or not is_usable:
         log_event("server_row_bad", server=server_id, state=wire.state)
         return None
     return Backend(
--- a/src/godwitmast/platform/cli.py
+++ b/src/godwitmast/platform/cli.py
@@ -9,7 +9,7 @@
 
 
 def run(serve: Callable[[Path | None, bool], int]) -> None:
-    """Read the command line, and serve as it asks."""
+    """Parse the command line, and run `serve` with its options."""
 
     def node(
         settings: SettingsOption = None,
--- a/src/godwitmast/platform/daemon.py
+++ b/src/godwitmast/platform/daemon.py
@@ -1,4 +1,4 @@
-"""One process a VM: the entry with the duties inside, on the platform's ports."""
+"""The process of one VM: entry and control duties, on the platform's ports."""
 
 from functools import partial
 from pathlib import Path
@@ -32,7 +32,7 @@
     read_evacuations,
     read_servers,
 )
-from godwitmast.platform.front import ReplicaHeaderParser, RouteFront
+from godwitmast.platform.frontend import ReplicaHeaderParser, RouteFrontend
 from godwitmast.platform.settings import BoundsTable, PlatformFile
 from godwitmast.platform.store import StoreClient
 from godwitmast.platform.wire import (
@@ -58,69 +58,73 @@
 from godwitmast.usage.writer import NodeWriter
 
 METRICS_PORT = 9464
-"""The port that deploy/system.toml names for metrics."""
+"""The port for metrics in deploy/system.toml."""
 
 BALANCER_WAIT_S = 2.5
-"""The balancer asks each second and takes a VM out after two misses."""
+"""The load balancer checks readiness every second, and stops sending to a VM after two
+failed checks."""
 
-REQUESTS_UNTIL = 0.875
-"""The part of the grace in which open requests may end. One that a server still works on
-in the last sixth of it may be cut; ended earlier, it would be lost."""
+REQUESTS_GRACE_SHARE = 0.875
+"""Share of the stop grace period for which open requests may run on. A request that a
+server still processes may be cut in the last sixth of the period; cut earlier, a request
+would be lost that its server would have completed in time."""
 
-USAGE_SHARE = 0.0625
-"""The part of the grace for the last usage, after the requests."""
+USAGE_STOP_SHARE = 0.0625
+"""Share of the stop grace period for writing the last usage, after the requests."""
 
-USAGE_GRACE_SHARE = 0.85
-WRITES_A_WINDOW = 5
+LATE_USAGE_SHARE = 0.85
+WRITES_PER_WINDOW = 5
 
 GATHER_SHARE = 0.4
-"""The part of the time to stop sending to a leaving server for which changes gather. The
-first change of a group comes at once; servers that start or leave one after the other
-otherwise wake every VM for each of them. What is left, 1.2 s, is five times what a call
-takes from a store that is sixty times slower than it should be."""
+"""Share of the time within which a leaving server must get no more new requests, for which
+changes are collected into one batch. The first change of a batch is applied at once;
+without batches, servers that start or leave one after the other would wake every VM for
+each of them. The remaining 1.2 s is five times the duration of a call to a store that is
+sixty times slower than normal."""
 
-REPEATS_SHARE = 0.75
-"""The part of the allowed share of repeats that is used. A repeated run may call another
-service itself, and that counts there as a repeat."""
+RETRY_RATIO_SHARE = 0.75
+"""Share of the allowed retry ratio that this router uses. A retried run may itself call
+another service, which counts as a retry there."""
 
 CONFIRM_SHARE = 0.3
 FRESH_SHARE = 0.5
-"""Parts of the time in which a change must be in force. What a relay told is gone by for
-half of it; the other half is for the call that a follower then makes itself."""
+"""Shares of the time in which a change must be in force. Data from a relay is used for
+half of that time; the other half is left for the call that a follower then makes
+itself."""
 
 LEASE_GUARD_S = 2.0
 REPORT_TIMEOUT_S = 1.5
-"""Below the lease's guard: a report that is out when the lease lapses has arrived or
-failed before the next holder sends one."""
+"""Shorter than the lease's guard time: a report in flight when the lease lapses has arrived
+or failed before the next holder sends one."""
 
-AGREE_EVERY_S = 0.5
-"""How often a store that does not answer is asked for the agreed time."""
+AGREE_INTERVAL_S = 0.5
+"""Interval between attempts to agree on the time while the store does not answer."""
 
-SETTINGS_EVERY_S = 1.0
-"""How often the settings file is looked at, as it may change without a signal."""
+SETTINGS_POLL_INTERVAL_S = 1.0
+"""Interval at which the settings file is read, since it may change without a signal."""
 
 
 def usage_timing(bounds: BoundsTable) -> UsageTiming:
-    """Return how usage is counted so that each window is reported in time.
+    """Return the timing of usage counts with which each window is reported in time.
 
-    Each VM writes some times a window, since what it has not written is lost with it.
-    One that the store turns away has nearly all of the time that a report may take to
-    come back: without its figures the report would be wrong, and is no better for being
-    early. The rest is some ten calls' time.
+    Each VM writes its counts several times a window, since unwritten counts are lost
+    with the VM. A VM whose writes the store rejects is awaited for nearly all of the
+    time that a report may take: without its counts the report would be wrong, and an
+    early report has no advantage. The rest suffices for some ten calls.
     """
-    grace_s = bounds.usage_late_s * USAGE_GRACE_SHARE
+    grace_s = bounds.usage_late_s * LATE_USAGE_SHARE
     return UsageTiming(
         window_s=bounds.window_s,
-        flush_s=bounds.window_s / WRITES_A_WINDOW,
+        flush_s=bounds.window_s / WRITES_PER_WINDOW,
         grace_s=grace_s,
         seal_s=grace_s,
         keep_s=60.0,
-        stop_s=bounds.grace_s * USAGE_SHARE,
+        stop_s=bounds.grace_s * USAGE_STOP_SHARE,
     )
 
 
 def feed_sharing(bounds: BoundsTable) -> Sharing:
-    """Return how fresh what a relay tells must be, by the shorter of two bounds."""
+    """Return how fresh data from a relay must be, by the shorter of two bounds."""
     bound_s = min(bounds.drain_ms, bounds.config_deadline_ms) / 1000
     return Sharing(bound_s * CONFIRM_SHARE, bound_s * FRESH_SHARE, WAIT_S)
 
@@ -130,13 +134,13 @@
 
 
 def lease_timing(bounds: BoundsTable) -> LeaseTiming:
-    """Return a lease that outlasts the platform's own, and is soon taken over."""
+    """Return a lease that lapses after the platform's own, and is soon taken over."""
     ttl_s = bounds.lease_ms / 1000
     return LeaseTiming(ttl_s, LEASE_GUARD_S, renew_s=ttl_s / 3, watch_s=ttl_s * 0.8)
 
 
 def read_bytes(path: Path) -> bytes:
-    """Return a file's content; a file that cannot be read has none."""
+    """Return a file's content, or no bytes if it cannot be read."""
     try:
         return path.read_bytes()
     except OSError:
@@ -144,7 +148,7 @@
 
 
 class Node:
-    """Everything that runs on one entry VM."""
+    """All components of one entry VM."""
 
     def __init__(
         self,
@@ -154,42 +158,44 @@
     ) -> None:
         self.settings = settings
         self.path = path
-        self.settings_read: bytes | None = None
+        self.settings_content: bytes | None = None
         bounds = settings.bounds
         self.clock = SystemClock()
-        self.true_time = AgreedClock(self.clock)
-        self.store = StoreClient(settings, self.true_time.update_store_time)
+        self.agreed_clock = AgreedClock(self.clock)
+        self.store = StoreClient(settings, self.agreed_clock.update_store_time)
         self.client = BackendClient(
             header_parser=ReplicaHeaderParser(),
             socket_options=DEAD_PEER_OPTIONS,
             tls=tls_without_authorities(),
         )
-        self.front = RouteFront()
+        self.frontend = RouteFrontend()
         self.budgets = SharedRetryBudgets(
-            bounds.budget_slack, bounds.retry_budget_ratio * REPEATS_SHARE
+            bounds.budget_slack, bounds.retry_budget_ratio * RETRY_RATIO_SHARE
         )
         self.driver = RouterDriver(settings.zone, self.clock, self.client, self.budgets)
         self.driver.should_poll = lambda backend_id: False
         self.meter = Meter()
         self.app = EntryApp(
-            self.clock, self.driver, self.client, self.meter, self.front
+            self.clock, self.driver, self.client, self.meter, self.frontend
         )
         self.app.ends_withdrawn_streams = bounds.strict_revoke
         self.servers_known = False
         self.app.ready_checks.append(lambda: self.servers_known)
         gather_s = bounds.drain_ms / 1000 * GATHER_SHARE
-        self.feed = SharedFeed(self.store, self.true_time, feed_sharing(bounds))
+        self.feed = SharedFeed(self.store, self.agreed_clock, feed_sharing(bounds))
         self.followers = [
-            FeedFollower(self.feed, self.clock, OPERATOR_TABLE, self.take_operator),
+            FeedFollower(
+                self.feed, self.clock, OPERATOR_TABLE, self.apply_operator_rows
+            ),
             FeedFollower(
                 self.feed,
                 self.clock,
                 SERVERS_TABLE,
-                self.take_servers,
+                self.apply_server_rows,
                 lambda: self.feed.gather_s(gather_s),
             ),
         ]
-        self.store.failure_listeners.append(self.doubt_feeds)
+        self.store.failure_listeners.append(self.reissue_waits)
         timing = usage_timing(bounds)
         self.relay = RelayDriver(
             self.store,
@@ -202,11 +208,11 @@
             self.count_vms,
             self.app.metrics.registry,
         )
-        self.relay.table.on_failure = self.doubt_feeds
+        self.relay.table.on_failure = self.reissue_waits
         journal = Journal(settings.node, settings.zone, timing.window_s)
         self.writer = NodeWriter(
             self.relay.table,
-            self.true_time,
+            self.agreed_clock,
             journal,
             timing,
             self.config_version,
@@ -221,12 +227,12 @@
             timing,
             self.app.metrics.registry,
             REPORT_TIMEOUT_S,
-            self.true_time,
+            self.agreed_clock,
         )
         orders = ZonalDuty(
             self.store.duties,
             self.clock,
-            self.orderable,
+            self.order_limits,
             lambda: self.driver.listed_backends,
             lambda pool: sum_open_requests(duty.loads(), pool),
             self.app.metrics.registry,
@@ -246,15 +252,17 @@
         self.callers = HttpServer(
             self.serve_caller,
             settings.listen.front,
-            grace_s=bounds.grace_s * REQUESTS_UNTIL - BALANCER_WAIT_S,
+            grace_s=bounds.grace_s * REQUESTS_GRACE_SHARE - BALANCER_WAIT_S,
         )
-        self.balancer = HttpServer(self.serve_own, settings.listen.ready, grace_s=0.1)
-        self.scrapes = HttpServer(
-            self.serve_own, Listen(settings.ip, metrics_port), grace_s=0.1
+        self.readiness_server = HttpServer(
+            self.serve_internal, settings.listen.ready, grace_s=0.1
+        )
+        self.metrics_server = HttpServer(
+            self.serve_internal, Listen(settings.ip, metrics_port), grace_s=0.1
         )
 
     def add_metrics(self, registry: CollectorRegistry) -> None:
-        """Show what this VM asks of the platform, and how old what it knows is."""
+        """Register metrics of platform calls, table ages, zones and cold servers."""
         registry.register(self.store.calls)
         age = Gauge(
             "godwit_relay_table_age_seconds",
@@ -283,13 +291,15 @@
         for table in (OPERATOR_TABLE, SERVERS_TABLE):
             age.labels(table).set_function(partial(self.feed.age_s, table))
 
-    def orderable(self) -> dict[PoolName, ZonalLimits]:
-        """Return which servers may be ordered, once both lists are known."""
-        catalog = self.front.catalog
-        return catalog.fleets if catalog is not None and self.servers_known else {}
+    def order_limits(self) -> dict[PoolName, ZonalLimits]:
+        """Return the order limits by pool, once configuration and servers are known."""
+        catalog = self.frontend.catalog
+        return (
+            catalog.order_limits if catalog is not None and self.servers_known else {}
+        )
 
     def count_vms(self) -> int:
-        """Return how many VMs there are, or 0 if this one does not know."""
+        """Return the number of VMs, or 0 if it is unknown."""
         if self.relay.machine.relay_available:
             return self.relay.machine.vm_count
         return self.lease.machine.vm_count
@@ -298,35 +308,36 @@
         return self.app.config.version if self.app.config else 0
 
     async def start(self, tasks: TaskGroup) -> None:
-        """Listen, and follow configuration and servers; not ready before both."""
+        """Listen, and follow configuration and servers; ready once both are known."""
         await self.driver.start(tasks)
         for follower in self.followers:
             await follower.start(tasks)
         tasks.start_soon(self.start_duties, tasks)
-        for server in (self.callers, self.balancer, self.scrapes):
+        for server in (self.callers, self.readiness_server, self.metrics_server):
             await server.start(tasks)
-        tasks.start_soon(self.run_settings)
+        tasks.start_soon(self.poll_settings)
         log_event("node_started", node=self.settings.node, zone=self.settings.zone)
 
     async def start_duties(self, tasks: TaskGroup) -> None:
-        """Agree on the time of day, and then count and report usage by it.
+        """Agree on the time of day, then start counting and reporting usage by it.
 
-        Windows that were entered by a clock that is ahead cannot be left again. The
-        lease goes by the VM's own clocks, as only they tell that it was suspended.
+        A VM that enters a usage window early, by a clock that is ahead, cannot return
+        to an earlier one. The lease uses the VM's own clocks, since only they show that
+        the VM was suspended.
         """
-        while not await run_steps(self.store, agree_on_time(self.true_time)):
-            await anyio.sleep(AGREE_EVERY_S)
-        log_event("time_agreed", difference_s=self.true_time.difference_s)
+        while not await run_steps(self.store, agree_on_time(self.agreed_clock)):
+            await anyio.sleep(AGREE_INTERVAL_S)
+        log_event("time_agreed", difference_s=self.agreed_clock.difference_s)
         await self.relay.start(tasks)
         await self.writer.start(tasks)
         await self.lease.start(tasks)
 
     async def close(self) -> None:
-        """Stop within the platform's grace, without cutting a request.
+        """Stop within the platform's grace period, without cutting a request.
 
-        The balancer goes on sending for a while after it saw that this VM is not ready,
-        so new requests are still taken during that wait, and told to come elsewhere
-        with their next one.
+        The load balancer keeps sending for a while after this VM stops being ready, so
+        new requests are still served during that wait. Their answers close the
+        connection, so that the callers' next requests go to another VM.
         """
         log_event("node_stopping", node=self.settings.node)
         self.app.stopping = True
@@ -338,25 +349,25 @@
         await self.writer.close()
         for follower in self.followers:
             await follower.close()
-        for server in (self.balancer, self.scrapes):
+        for server in (self.readiness_server, self.metrics_server):
             await server.close()
         await self.driver.close()
         await self.client.close()
         await self.store.close()
         log_event("node_stopped", node=self.settings.node)
 
-    def doubt_feeds(self) -> None:
+    def reissue_waits(self) -> None:
         """Reissue all calls that wait for changes."""
         for follower in self.followers:
             follower.reissue_wait()
 
-    def take_operator(self, rows: dict[str, bytes]) -> None:
-        """Apply evacuations first: a VM is ready from its first configuration on."""
+    def apply_operator_rows(self, rows: dict[str, bytes]) -> None:
+        """Apply evacuations first, since the first configuration makes the VM ready."""
         self.driver.set_evacuated_zones(read_evacuations(rows))
-        self.take_config(rows)
+        self.apply_config(rows)
 
-    def take_config(self, rows: dict[str, bytes]) -> None:
-        """Put the operator's configuration in force if it is newer."""
+    def apply_config(self, rows: dict[str, bytes]) -> None:
+        """Put the operators' configuration in force if it is newer."""
         content = rows.get(CONFIG_KEY)
         if content is None:
             return
@@ -368,15 +379,15 @@
         if catalog.config.version <= self.config_version():
             return
         log_event("config_in_force", number=catalog.config.version)
-        self.front.take_catalog(catalog)
+        self.frontend.apply_catalog(catalog)
         self.app.config_changed(catalog.config)
         limits = catalog.limits
         self.callers.set_connection_limits(
             limits.max_header_bytes, limits.idle_timeout_ms / 1000
         )
 
-    def take_servers(self, rows: dict[str, bytes]) -> None:
-        """Take the backend servers that name themselves in the store."""
+    def apply_server_rows(self, rows: dict[str, bytes]) -> None:
+        """Apply the rows by which backend servers register themselves in the store."""
         servers = read_servers(rows)
         known = self.driver.listed_backends
         for name in servers.keys() | known.keys():
@@ -391,7 +402,7 @@
         self.driver.update_listed_backends(servers)
 
     async def serve_caller(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve the callers' address."""
+        """Serve requests on the callers' address."""
         if scope["type"] != "http":
             return
         if self.app.stopping:
@@ -401,8 +412,8 @@
         except CallerGone:
             return
 
-    async def serve_own(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve the balancer's question, and the metrics."""
+    async def serve_internal(self, scope: Scope, receive: Receive, send: Send) -> None:
+        """Serve readiness checks and metrics."""
         if scope["type"] != "http":
             return
         match scope["path"]:
@@ -416,27 +427,27 @@
             case _:
                 await send_json(send, 404, {"error": "not found"})
 
-    async def run_settings(self) -> None:
-        """Notice a settings file that changed without a signal, and VMs that came."""
+    async def poll_settings(self) -> None:
+        """Apply the number of VMs and a changed settings file, at a fixed interval."""
         while True:
-            await anyio.sleep(SETTINGS_EVERY_S)
+            await anyio.sleep(SETTINGS_POLL_INTERVAL_S)
             vms = self.count_vms()
             self.budgets.set_router_count(vms, self.clock.now())
             self.driver.set_entry_count(vms)
             self.reload()
 
     def reload(self) -> None:
-        """Read the settings file again; a bad one changes nothing.
+        """Read the settings file again; an invalid one changes nothing.
 
-        Addresses and identity are those of the start; what may change in place is the
-        rule for keys that were withdrawn.
+        Addresses and identity stay as they were at the start; only the rule for
+        withdrawn keys may change.
         """
         if self.path is None:
             return
         content = read_bytes(self.path)
-        if content == self.settings_read:
+        if content == self.settings_content:
             return
-        self.settings_read = content
+        self.settings_content = content
         try:
             settings = load_settings(self.path, PlatformFile, {})
         except SettingsError as error:
--- a/src/godwitmast/platform/front.py
+++ b/src/godwitmast/platform/frontend.py
@@ -1,4 +1,4 @@
-"""What callers of the platform send, and what they are told."""
+"""The caller-facing API of the users' platform: request parsing and error answers."""
 
 import itertools
 import random
@@ -60,11 +60,11 @@
 from godwitmast.types import BackendId, RequestId, TeamName, TokenCount
 
 BODY_TIMEOUT_S = 10.0
-"""A caller on a slow phone sends a body of 100 kB in this at 80 kbit/s."""
+"""Enough for a body of 100 kB from a slow phone at 80 kbit/s."""
 
 RETRY_AFTER_S = 1.0
-"""When to come back where nothing better is known: a server that failed is out of the
-choice by then, and a burst has begun to drain."""
+"""Retry-After without a better estimate: by then a failed server is no longer chosen,
+and the backlog of a burst has begun to shrink."""
 
 CONNECTION_HEADERS = frozenset(
     [
@@ -81,14 +81,14 @@
         "upgrade",
     ]
 )
-"""The caller's key, and headers that concern one connection only."""
+"""The caller's key, and headers that apply to a single connection."""
 
 UNKNOWN_ROUTE = ErrorAnswer(404, "unknown_route", "No route has this host and path.")
 
 
 @dataclass
 class RoutedRequest:
-    """A request of a route, as backend servers get it."""
+    """A request of a route, as it is sent to backend servers."""
 
     method: str
     path: str
@@ -108,7 +108,7 @@
     def build_attempt(
         self, backend_id: BackendId, now: float, source: str | None = None
     ) -> AttemptRequest:
-        """Return the request with what is left of its time, for that server only."""
+        """Return the request with its remaining time, for one server only."""
         left_ms = max(1, int((self.deadline - now) * 1000))
         headers = [
             *self.headers,
@@ -123,7 +123,7 @@
         return AttemptRequest(headers, self.content)
 
     def belongs_to_request(self, answer: httpx.Response) -> bool:
-        """Return whether a server answers this request and no earlier one."""
+        """Return whether an answer belongs to this request, not an earlier one."""
         return answer.headers.get(ATTEMPT_ID) == self.attempt_id
 
     def stream_headers(self, answer: httpx.Response) -> RawHeaders:
@@ -137,46 +137,48 @@
 
 
 class ReplicaHeaderParser:
-    """What the platform's backend servers say in the head of an answer."""
+    """Parser for the response headers of the platform's backend servers."""
 
     def reports_not_run(self, answer: httpx.Response) -> bool:
         """Return whether the server did not run the request, and never will.
 
-        A server at a reused address, or a new start of the one that was meant, says so
-        by its status.
+        With status 421 it reports that it is not the server that was meant: the address
+        was reused, or the server was restarted.
         """
         return NOT_EXECUTED in answer.headers or answer.status_code == 421
 
     def parse_load(self, answer: httpx.Response) -> LoadReport | None:
-        """Return running and waiting requests; the number of places comes third."""
+        """Return running and waiting requests; the third number is the batch size."""
         parts = answer.headers.get(SERVER_LOAD, "").split(",")
         if len(parts) < 2 or not (parts[0].isdecimal() and parts[1].isdecimal()):
             return None
         return LoadReport(int(parts[0]), int(parts[1]))
 
 
-class RouteFront:
-    """Requests that are routed by host and path, for callers with a key."""
+class RouteFrontend:
+    """The API for callers with a key, with requests routed by host and path."""
 
     def __init__(self) -> None:
         self.catalog: Catalog | None = None
-        self.numbers = itertools.count(1)
+        self.request_numbers = itertools.count(1)
 
-    def take_catalog(self, catalog: Catalog) -> None:
-        """Take a configuration; the product's part is told apart from it."""
+    def apply_catalog(self, catalog: Catalog) -> None:
+        """Store a configuration; `config_changed` is then called with its document."""
         self.catalog = catalog
 
     def config_changed(self, config: NumberedConfig) -> None:
         assert self.catalog is not None and self.catalog.config is config
 
     @property
-    def known(self) -> Catalog:
-        assert self.catalog is not None, "requests are taken only once ready"
+    def current_catalog(self) -> Catalog:
+        assert self.catalog is not None, (
+            "requests are accepted only once the node is ready"
+        )
         return self.catalog
 
     @property
     def document(self) -> Document:
-        return self.known.config.document
+        return self.current_catalog.config.document
 
     def limits(self) -> Limits:
         limits = self.catalog.limits if self.catalog else WireLimits()
@@ -188,14 +190,14 @@
             for name, value in scope["headers"]
         ]
         size = sum(len(name) + len(value) + 4 for name, value in pairs)
-        if size > self.known.limits.max_header_bytes:
+        if size > self.current_catalog.limits.max_header_bytes:
             return ErrorAnswer(431, "head_too_large", "The headers are too long.")
-        named = dict(pairs)
-        if not named.get(ATTEMPT_ID):
+        by_name = dict(pairs)
+        if not by_name.get(ATTEMPT_ID):
             message = f"{ATTEMPT_ID} is missing: no answer could be told to be its own."
             return ErrorAnswer(400, "no_attempt_id", message)
-        key = read_bearer(named.get("authorization", ""))
-        deadline_s = read_deadline(named.get(DEADLINE_MS))
+        key = read_bearer(by_name.get("authorization", ""))
+        deadline_s = read_deadline(by_name.get(DEADLINE_MS))
         if deadline_s is None:
             message = f"{DEADLINE_MS} must be milliseconds, above 0."
             return ErrorAnswer(400, "bad_deadline", message)
@@ -204,22 +206,22 @@
             scope["path"],
             scope["raw_path"].decode("latin-1"),
             scope["query_string"].decode("latin-1"),
-            kept_headers(pairs, key),
+            forwarded_request_headers(pairs, key),
             key,
             None,
             deadline_s,
             None,
-            named.get(ATTEMPT_ID),
-            named.get("host", ""),
+            by_name.get(ATTEMPT_ID),
+            by_name.get("host", ""),
         )
 
     def find_route(self, head: RequestHead) -> Route | None:
-        return self.known.routes.match(head.host, head.raw_path)
+        return self.current_catalog.routes.match(head.host, head.raw_path)
 
     def authenticate(
         self, head: RequestHead, offline_s: float
     ) -> Caller | ErrorAnswer | None:
-        """Return who calls; a zone that is cut off goes on with the keys it has."""
+        """Return the caller; an offline zone keeps accepting the keys it knows."""
         route = self.find_route(head)
         if route is None:
             return UNKNOWN_ROUTE
@@ -234,7 +236,9 @@
         if route is None:
             return UNKNOWN_ROUTE
         team = caller.team_name if caller else ""
-        rank = self.known.ranks.of(route.priority, self.known.priorities.get(team))
+        rank = self.current_catalog.ranks.of(
+            route.priority, self.current_catalog.team_priorities.get(team)
+        )
         allowed_s = min(route.timeout_s, head.deadline_s or route.timeout_s)
         answer_deadline = incoming.arrived + allowed_s
         headers = list(head.headers)
@@ -265,12 +269,12 @@
         rank: int,
         answer_deadline: float,
     ) -> RequestSpec:
-        """Return the request as the decisions see it."""
+        """Return the properties by which the request is queued and placed."""
         head = incoming.head
-        named = dict(head.headers)
-        prompt, output = read_tokens(named.get(TOKEN_USAGE, ""))
+        by_name = dict(head.headers)
+        prompt, output = read_tokens(by_name.get(TOKEN_USAGE, ""))
         return RequestSpec(
-            RequestId(f"{head.request_id}/{next(self.numbers)}"),
+            RequestId(f"{head.request_id}/{next(self.request_numbers)}"),
             TeamName(team),
             with_rank(route.class_name, rank),
             route.choose_pool(random.random()),
@@ -284,11 +288,11 @@
             route.resumable,
             route.streams,
             route.attempts,
-            read_parts(named.get(PROMPT_PREFIX, "")),
+            read_parts(by_name.get(PROMPT_PREFIX, "")),
         )
 
     def answer_refusal(self, refusal: Refuse) -> ErrorAnswer:
-        """Return what a caller is told; a status of 503 or 429 promises "not run"."""
+        """Return the caller's error; status 503 or 429 promises that nothing was run."""
         not_run = refusal.not_run is NotRun.TRUE
         if refusal.code is RefusalCode.TEAM_LIMIT:
             status = 429
@@ -304,10 +308,10 @@
         return ErrorAnswer(status, code, message, refusal.not_run, retry_after_s)
 
     async def send_error(self, send: Send, answer: ErrorAnswer, began: bool) -> None:
-        """Send an error; a stream that began just ends without its end.
+        """Send an error, unless the answer's stream has already begun.
 
-        Its connection closes in the middle of the body, so that it cannot be taken for
-        whole.
+        The connection of such a stream is closed in the middle of the body, so that the
+        caller cannot mistake it for a complete answer.
         """
         if began:
             return
@@ -324,7 +328,7 @@
 
 
 def read_deadline(text: str | None) -> float | None:
-    """Return the seconds that a caller will wait; None for no number above 0."""
+    """Return the seconds that a caller waits, or None if not a number above 0."""
     if text is None:
         return float("inf")
     try:
@@ -334,21 +338,21 @@
     return seconds if seconds > 0 else None
 
 
-def kept_headers(pairs: Headers, key: str | None) -> Headers:
-    """Return the headers that a backend server gets from the caller."""
-    named = dict(pairs).get("connection", "")
-    hop = {item.strip().lower() for item in named.split(",")}
+def forwarded_request_headers(pairs: Headers, key: str | None) -> Headers:
+    """Return the caller's headers that are forwarded to a backend server."""
+    connection = dict(pairs).get("connection", "")
+    hop_headers = {item.strip().lower() for item in connection.split(",")}
     return [
         (name, value)
         for name, value in pairs
         if name not in SET_BY_ROUTER
-        and name not in hop
+        and name not in hop_headers
         and not carries_key(name, value, key, CONNECTION_HEADERS)
     ]
 
 
 def read_tokens(text: str) -> tuple[int, int]:
-    """Return the tokens of the prompt, and the most of the answer."""
+    """Return the prompt tokens, and the limit on the answer's tokens."""
     prompt, _, output = text.partition(",")
     if prompt.isdecimal() and output.isdecimal():
         return int(prompt), int(output)
--- a/src/godwitmast/platform/settings.py
+++ b/src/godwitmast/platform/settings.py
@@ -16,17 +16,17 @@
 
 
 def read_address(text: str) -> Listen:
-    """Return a checked address as what the product listens on."""
+    """Return an address that has been validated as a `Listen`."""
     host, _, port = text.rpartition(":")
     return Listen(host, int(port))
 
 
 class FileTable(Struct, rename="camel", frozen=True):
-    """A table of the file; fields that are not named here are ignored."""
+    """A table of the file; unknown fields are ignored."""
 
 
 class ListenTable(FileTable, frozen=True):
-    """Where this process listens: for callers, and for the balancer's question."""
+    """Listen addresses: for callers, and for the load balancer's readiness checks."""
 
     front_text: AddressText = field(name="front")
     ready_text: AddressText = field(name="ready")
@@ -41,7 +41,7 @@
 
 
 class BoundsTable(FileTable, frozen=True):
-    """The bounds that the router's own timing follows."""
+    """Bounds that the router's timing is derived from."""
 
     drain_ms: Positive
     grace_s: Positive
@@ -57,7 +57,7 @@
 
 
 class AddressTable(FileTable, frozen=True):
-    """An interface of the platform: its store, or the one for duties of one holder."""
+    """Address of a platform interface: its store, or that for the holder of a duty."""
 
     address_text: AddressText = field(name="address")
 
@@ -78,4 +78,4 @@
     cloud_api: AddressTable
     region: str = ""
     port_range: tuple[int, int] = (0, 0)
-    """Ports for links between VMs, from the first to the last; 0 takes a free one."""
+    """First and last port for links between VMs; 0 stands for any free port."""
--- a/src/godwitmast/platform/store.py
+++ b/src/godwitmast/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store, objects and usage intake, as the product's ports."""
+"""Clients for the platform's store, objects, usage reports and server orders."""
 
 import base64
 from collections import Counter
@@ -36,24 +36,25 @@
 from godwitmast.usage.rows import FrozenWindow
 
 OWN_TABLE = "godwit"
-"""The one table for everything of the product's own, in one part."""
+"""The table that holds all of the router's own rows, in one part."""
 
 PAGE_ROWS = 500
-"""The most rows that the store gives in one answer."""
+"""Largest number of rows that the store returns in one answer."""
 
 CALL_TIMEOUT_S = 1.5
-"""A call takes 4 to 25 ms. At sixty times that, the slowest the store was promised to
-be, it still ends in time; an answer that has not come by then is taken as lost."""
+"""A call takes 4 to 25 ms, and still ends in time if it takes sixty times that, which is
+the store's specified worst case; a later answer counts as lost."""
 
 FOLLOW_MARGIN_S = 1.0
-"""What a call that waits for changes may take beyond its wait. Tables are read in 4 ms."""
+"""How much longer than its wait a call that waits for changes may take. Reading a table
+takes 4 ms."""
 
-RETRY_MAX_S = 1.0
-"""The longest that nothing is asked of a store that gave no answer: half of the time in
-which a configuration has to be in force."""
+BREAKER_OPEN_MAX_S = 1.0
+"""Longest time for which the circuit breaker stays open: half of the time in which a
+configuration has to be in force."""
 
-CONNECTIONS = 6
-"""Two calls that wait for changes, and four more."""
+MAX_CONNECTIONS = 6
+"""Two calls that wait for changes, and four others."""
 
 
 CALL_NAMES = {
@@ -67,8 +68,8 @@
 }
 
 
-def name_call(path: str) -> str:
-    """Return the product's name of a call; objects' paths end with the object's name."""
+def call_label(path: str) -> str:
+    """Return the metric label of a call; an object's path ends with its name."""
     found = (name for start, name in CALL_NAMES.items() if path.startswith(start))
     return next(found, "other")
 
@@ -78,7 +79,7 @@
 
 
 def make_http(address: Listen, timeout_s: float) -> httpx.AsyncClient:
-    limits = httpx.Limits(max_connections=CONNECTIONS, keepalive_expiry=60)
+    limits = httpx.Limits(max_connections=MAX_CONNECTIONS, keepalive_expiry=60)
     transport = httpx.AsyncHTTPTransport(
         verify=tls_without_authorities(),
         limits=limits,
@@ -94,21 +95,23 @@
 
 
 class StoreClient(PlatformHttp):
-    """The store; `Table` and `Feed` of the product, and its intake of usage."""
+    """Client of the store that implements the router's `Table` and `Feed`."""
 
     def __init__(
-        self, settings: PlatformFile, heard: Callable[[float], None] | None = None
+        self,
+        settings: PlatformFile,
+        on_store_time: Callable[[float], None] | None = None,
     ) -> None:
-        self.heard = heard
+        self.on_store_time = on_store_time
         address = settings.platform.address
         limits = PlatformSettings(url_of(address), CALL_TIMEOUT_S)
         super().__init__(limits, make_http(address, CALL_TIMEOUT_S))
-        self.breaker = CircuitBreaker(open_max_s=RETRY_MAX_S)
+        self.breaker = CircuitBreaker(open_max_s=BREAKER_OPEN_MAX_S)
         self.duties = DutyClient(settings)
         self.duties.calls = self.calls
 
     def call_name(self, path: str) -> str:
-        return name_call(path)
+        return call_label(path)
 
     def budget_for(self, method: str, path: str) -> RateBudget:
         return self.reads if method == "GET" else self.writes
@@ -120,8 +123,8 @@
     async def read(self, keys: list[str]) -> dict[str, Row]:
         """Return the rows among `keys` that exist, as of one moment.
 
-        One call reads the range that holds them all; the product asks for rows that
-        stand next to each other.
+        One call reads the range that spans them all, since the router reads rows whose
+        keys are adjacent.
         """
         found = await self.read_range(min(keys), max(keys) + "\0")
         return {key: row for key, row in found.items() if key in set(keys)}
@@ -136,7 +139,7 @@
         while True:
             answer = await self.get_rows(OWN_TABLE, start, end)
             for row in answer.rows:
-                rows[row.key] = Row(msgspec.json.decode(decode(row)), row.ver)
+                rows[row.key] = Row(msgspec.json.decode(decode_value(row)), row.ver)
             if not answer.truncated:
                 return rows
             start = answer.rows[-1].key + "\0"
@@ -149,47 +152,51 @@
             params["from"] = start
         if end:
             params["to"] = end
-        got = await self.send(
+        response = await self.send(
             "GET", READ_ROWS, bypass_breaker=bypass_breaker, params=params
         )
-        return self.parse(got)
+        return self.parse(response)
 
     async def transact(
         self, checks: dict[str, int], writes: dict[str, Json]
     ) -> TransactOutcome:
         """Write `writes` if every row of `checks` still has its version."""
         body = {
-            "expected": [{**place(key), "ver": ver} for key, ver in checks.items()],
+            "expected": [
+                {**row_address(key), "ver": ver} for key, ver in checks.items()
+            ],
             "puts": [
-                {**place(key), "value": encode(value)}
+                {**row_address(key), "value": encode_value(value)}
                 for key, value in writes.items()
                 if value is not None
             ],
-            "remove": [place(key) for key, value in writes.items() if value is None],
+            "remove": [
+                row_address(key) for key, value in writes.items() if value is None
+            ],
         }
-        got = await self.send("POST", TRANSACT, (200, 412), json=body)
-        answer = self.parse(got)
-        if got.status_code == 200:
-            # The rows of one transaction all take the same version.
+        response = await self.send("POST", TRANSACT, (200, 412), json=body)
+        answer = self.parse(response)
+        if response.status_code == 200:
+            # All rows of one transaction get the same version.
             return Written(dict.fromkeys(writes, answer.ver))
-        # The answer holds every row that was checked, also those in nobody's way.
+        # The answer holds every checked row, also those without a conflict.
         current = {row.key: row.ver for row in answer.rows}
         found = {key: current.get(key, 0) for key in checks}
         return Conflict({key: ver for key, ver in found.items() if ver != checks[key]})
 
     async def get_object(self, name: str) -> bytes | None:
-        got = await self.send("GET", GET_OBJECT + quote(name, safe=""), (200, 404))
-        return got.content if got.status_code == 200 else None
+        response = await self.send("GET", GET_OBJECT + quote(name, safe=""), (200, 404))
+        return response.content if response.status_code == 200 else None
 
     async def put_object(self, name: str, content: bytes) -> None:
         path = PUT_OBJECT + quote(name, safe="")
         await self.send("PUT", path, content=content)
 
     async def snapshot(self, table: str) -> Snapshot:
-        """Return all rows of a table of the platform's."""
+        """Return all rows of one of the platform's tables."""
         answer = await self.get_rows(table, bypass_breaker=True)
-        # Of several pages the first is the oldest. The version of the last one would
-        # skip what changed on the first in the meantime.
+        # The first of several pages is the oldest. The version of the last one would
+        # skip changes made to the first in the meantime.
         version = answer.ver
         rows = answer.rows
         while answer.truncated:
@@ -202,13 +209,13 @@
     async def changes(
         self, table: str, after: int, wait_s: float
     ) -> Changes | HistoryLost:
-        """Return what changed after a version, waiting until something has."""
+        """Return the changes after a version; wait up to `wait_s` if there are none."""
         params = {
             "table": table,
             "afterRevision": str(after),
             "waitMs": str(int(wait_s * 1000)),
         }
-        got = await self.send(
+        response = await self.send(
             "GET",
             FOLLOW_ROWS,
             (200, 410),
@@ -216,19 +223,19 @@
             params=params,
             timeout=wait_s + FOLLOW_MARGIN_S,
         )
-        if got.status_code == 410:
+        if response.status_code == 410:
             return HistoryLost()
-        answer = self.parse(got)
+        answer = self.parse(response)
         return Changes([feed_row(row) for row in answer.rows], answer.ver)
 
-    def parse(self, got: httpx.Response) -> RowsAnswer:
-        """Return the decoded answer; one that cannot be read settles nothing."""
+    def parse(self, response: httpx.Response) -> RowsAnswer:
+        """Return the decoded answer; raise PlatformOutcomeUnknown if malformed."""
         try:
-            answer = msgspec.json.decode(got.content, type=RowsAnswer)
+            answer = msgspec.json.decode(response.content, type=RowsAnswer)
         except msgspec.DecodeError as error:
-            raise PlatformOutcomeUnknown(f"{got.url.path}: {error}") from None
-        if self.heard is not None and answer.now_ms is not None:
-            self.heard(answer.now_ms / 1000)
+            raise PlatformOutcomeUnknown(f"{response.url.path}: {error}") from None
+        if self.on_store_time is not None and answer.now_ms is not None:
+            self.on_store_time(answer.now_ms / 1000)
         return answer
 
     async def report_usage(self, report: Json) -> None:
@@ -236,10 +243,10 @@
 
 
 class DutyClient(PlatformHttp):
-    """Calls that one holder of a duty makes at a time."""
+    """Client for the calls that only the holder of a duty makes."""
 
     def call_name(self, path: str) -> str:
-        return name_call(path)
+        return call_label(path)
 
     def __init__(self, settings: PlatformFile) -> None:
         address = settings.cloud_api.address
@@ -248,11 +255,11 @@
         self.node = settings.node
 
     def duty_headers(self, fence: int) -> dict[str, str]:
-        """Return what tells the platform who calls, and under which tenure."""
+        """Return the headers with the holder's name and its fencing token."""
         return {DUTY_HOLDER: self.node, FENCING_TOKEN: str(fence)}
 
     async def report_usage(self, report: Json) -> None:
-        """Hand in a frozen window: how many requests of each team began in it."""
+        """Report a frozen window: how many requests of each team began in it."""
         window = FrozenWindow(
             report["start"], report["end"], report["figures"], report["late"]
         )
@@ -264,23 +271,23 @@
     async def order_servers(
         self, pool: PoolName, wanted: DesiredServers, fence: int
     ) -> OrderOutcome:
-        """Order a number of servers; the platform has none of the kind at a 409."""
+        """Order a number of servers; at status 409 none of the kind is available."""
         body: Json = {"service": pool, "zone": wanted.zone, "desired": wanted.number}
         if wanted.kind == "cheap":
             body["spot"] = True
         headers = self.duty_headers(fence)
-        got = await self.send(
+        response = await self.send(
             "POST", ORDER_SERVERS, (200, 409), json=body, headers=headers
         )
-        refused = got.status_code == 409
+        refused = response.status_code == 409
         return OrderOutcome.UNAVAILABLE if refused else OrderOutcome.DONE
 
 
 def count_requests(window: FrozenWindow) -> dict[str, int]:
     """Return the requests of each team that began in the window itself.
 
-    What came late belongs to windows that were reported, and would be taken as of this
-    one here.
+    Late usage belongs to windows that were already reported, and must not be counted as
+    this window's.
     """
     counts: Counter[str] = Counter()
     for team, _, _, requests, *_ in window.figures:
@@ -290,15 +297,15 @@
     return {team: count for team, count in counts.items() if team and count > 0}
 
 
-def place(key: str) -> dict[str, str]:
+def row_address(key: str) -> dict[str, str]:
     return {"table": OWN_TABLE, "part": "", "key": key}
 
 
-def encode(value: Json) -> str:
+def encode_value(value: Json) -> str:
     return base64.b64encode(msgspec.json.encode(value)).decode()
 
 
-def decode(row: StoredRow) -> bytes:
+def decode_value(row: StoredRow) -> bytes:
     return base64.b64decode(row.value)
 
 
@@ -307,8 +314,8 @@
 
 
 def decode_or_empty(row: StoredRow) -> bytes:
-    """Return a row's bytes; none for a value that is not base64, which names nothing."""
+    """Return a row's bytes, or none if it is invalid, as its value is not base64."""
     try:
-        return decode(row)
+        return decode_value(row)
     except ValueError:
         return b""
--- a/src/godwitmast/platform/wire.py
+++ b/src/godwitmast/platform/wire.py
@@ -1,7 +1,7 @@
-"""The platform's names: headers, calls, tables, and the shapes of its JSON.
+"""The platform's names: headers, calls, tables and JSON structures.
 
-They stand here and nowhere else. Each shape says what a field holds where its name
-does not; unknown fields are ignored, since the platform may add some.
+They are defined only here. Fields are described where their names do not say enough;
+unknown fields are ignored, since the platform may add some.
 """
 
 from typing import Final
@@ -9,11 +9,11 @@
 import msgspec
 
 ATTEMPT_ID = "attempt-id"
-"""The caller's id of this request; a server repeats it with its answer."""
+"""The caller's id of a request; a server repeats it in its answer."""
 DEADLINE_MS = "deadline-ms"
 EXPECT_INSTANCE = "expect-instance"
 KV_FETCH = "kv-fetch"
-"""The address of a server that the prompt's parts are copied from."""
+"""Address of a server from which cached parts of the prompt can be copied."""
 LAST_EVENT_ID = "last-event-id"
 NOT_EXECUTED = "not-executed"
 PROMPT_PREFIX = "prompt-prefix"
@@ -21,7 +21,7 @@
 SERVER_LOAD = "server-load"
 TENANT = "tenant"
 TOKEN_USAGE = "token-usage"
-"""Prompt tokens and the most output tokens, before the request is run."""
+"""Number of prompt tokens and limit on output tokens, sent with the request."""
 DUTY_HOLDER = "Duty-Holder"
 FENCING_TOKEN = "Fencing-Token"
 
@@ -53,7 +53,7 @@
 OPERATOR_TABLE = "op"
 CONFIG_KEY = "config"
 EVACUATE_PREFIX = "evacuate/"
-"""A row of this name and a zone says that the zone is evacuated while it exists."""
+"""While a row exists whose key is this prefix and a zone, that zone is evacuated."""
 SERVERS_TABLE = "servers"
 
 READY = "ready"
@@ -63,12 +63,12 @@
 IDEMPOTENT = "idempotent"
 
 
-class Shape(msgspec.Struct, rename="camel"):
-    """JSON of the platform's."""
+class PlatformJson(msgspec.Struct, rename="camel"):
+    """A JSON structure of the platform, with names in camel case."""
 
 
-class StoredRow(Shape):
-    """A row of the store; `value` is base64, and `ver` counts all rows' writes."""
+class StoredRow(PlatformJson):
+    """A row of the store; `value` is base64, and `ver` counts the writes of all rows."""
 
     key: str
     table: str = ""
@@ -78,24 +78,24 @@
     removed: bool = False
 
 
-class RowsAnswer(Shape):
+class RowsAnswer(PlatformJson):
     """The answer of every call about rows; `ver` is the newest version of the store."""
 
     rows: list[StoredRow] = []
     truncated: bool = False
     ver: int = 0
     now_ms: float | None = None
-    """The store's own clock, which never jumps and counts from some moment."""
+    """The store's own clock, which never jumps and counts from an unknown origin."""
 
 
-class ServiceShare(Shape):
+class ServiceShare(PlatformJson):
     """A part of a route's traffic."""
 
     service: str
     weight: float = 1.0
 
 
-class WireRoute(Shape):
+class WireRoute(PlatformJson):
     """A route; `slo_ms` is the time to the first event, or to a plain answer."""
 
     name: str
@@ -113,45 +113,45 @@
     gap_aim_ms: float | None = None
 
 
-class WireScale(Shape):
-    """How many servers of a service may be ordered; both bounds are per zone."""
+class WireScale(PlatformJson):
+    """Number of servers of a service that may be ordered; both bounds are per zone."""
 
     min: int
     max: int
     boot_time_s: float = msgspec.field(name="bootTimeS")
     spot_price: float = 1.0
-    """A part of the price of a server that cannot be reclaimed."""
+    """As a fraction of the price of a server that cannot be reclaimed."""
     zone_prices: dict[str, float] = {}
 
 
-class WireEngine(Shape):
-    """The engines of a service; `link_mbps` is what one copies memory at."""
+class WireEngine(PlatformJson):
+    """Engines of a service; `link_mbps` is the rate of copying cached prompts."""
 
     kv_token_bytes: float = 0.0
     link_mbps: float = 0.0
 
 
-class WireService(Shape):
-    """A service; one with an `engine` runs models."""
+class WireService(PlatformJson):
+    """A service; with an `engine`, its servers run models."""
 
     name: str
     engine: WireEngine | None = None
     cold_start_s: float = msgspec.field(name="coldStartS", default=0.0)
     cold_per_s: float = msgspec.field(name="coldPerS", default=0.0)
-    """The requests a second that a server bears in the seconds after its start."""
+    """Requests a second that a server can handle while it is cold."""
     scale_limits: WireScale | None = None
 
 
-class WireTenant(Shape):
-    """A tenant is a team of the product's."""
+class WireTenant(PlatformJson):
+    """A tenant, which the router calls a team."""
 
     name: str
     api_keys: list[str] = []
     priority: int | None = None
 
 
-class WireLimits(Shape):
-    """What a caller may send, and how long it may take."""
+class WireLimits(PlatformJson):
+    """Limits on the size and duration of a caller's request."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -159,7 +159,7 @@
     idle_timeout_ms: float = 15_000
 
 
-class WireConfig(Shape):
+class WireConfig(PlatformJson):
     """The newest configuration, in full."""
 
     version: int
@@ -169,8 +169,8 @@
     tenants: list[WireTenant] | None = None
 
 
-class WireServer(Shape):
-    """What a backend server says of itself; its id is the row's key."""
+class WireServer(PlatformJson):
+    """Row by which a backend server registers itself; its id is the row's key."""
 
     service: str
     address: str
@@ -180,4 +180,4 @@
     spot: bool = False
     cold_left_ms: float = 0.0
     born: int = 0
-    """When it started; a restart may keep the id."""
+    """When the server started; its id may stay the same across a restart."""
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Zones whose backend servers are to get no more work."""
+"""Evacuation: backend servers of an evacuated zone get no new requests."""
 
 from collections.abc import AsyncIterator
 
@@ -22,7 +22,7 @@
 class ZonedFleet(Fleet):
     """A fleet whose second engine and second plain server are in zone `z2`."""
 
-    async def settle(self) -> None:
+    async def assign_zones(self) -> None:
         for replica in self.in_z2:
             replica.say(READY, zone="z2")
         await self.wait_until(
@@ -44,7 +44,7 @@
         self.store.remove(OPERATOR_TABLE, f"evacuate/{zone}")
         await self.wait_until(lambda: zone not in self.node.driver.evacuated)
 
-    async def ask_often(self, http: httpx.AsyncClient) -> list[int]:
+    async def request_repeatedly(self, http: httpx.AsyncClient) -> list[int]:
         answers = [
             await self.request(http, path, method, **{"Attempt-Id": f"{path}{n}"})
             for n in range(6)
@@ -56,23 +56,23 @@
 @pytest.fixture
 async def fleet() -> AsyncIterator[ZonedFleet]:
     async with running(ZonedFleet()) as started:
-        await started.settle()
+        await started.assign_zones()
         yield started
 
 
 async def test_servers_of_an_evacuated_zone_get_no_request(
     fleet: ZonedFleet, http: httpx.AsyncClient
 ) -> None:
-    """The operator's row on an evacuation is not read, and work goes there on."""
+    """An evacuation row that is ignored would let requests go there."""
     await fleet.evacuate()
-    assert set(await fleet.ask_often(http)) == {200}
+    assert set(await fleet.request_repeatedly(http)) == {200}
     assert not any(replica.served for replica in fleet.in_z2)
 
 
 async def test_retry_goes_to_no_server_of_an_evacuated_zone(
     fleet: ZonedFleet, http: httpx.AsyncClient
 ) -> None:
-    """The only other server of the pool that a failed request could go to is there."""
+    """The only other server for a failed request is in the evacuated zone."""
     await fleet.evacuate()
     fleet.plain[0].faults.status = 500
     answer = await fleet.request(http, "/peek/1")
@@ -80,7 +80,7 @@
     assert not any(replica.served for replica in fleet.in_z2)
 
 
-async def test_zone_that_is_given_back_is_used_again(
+async def test_restored_zone_is_used_again(
     fleet: ZonedFleet, http: httpx.AsyncClient
 ) -> None:
     await fleet.evacuate()
@@ -105,9 +105,9 @@
 async def test_row_that_cannot_be_read_still_evacuates_its_zone(
     fleet: ZonedFleet, http: httpx.AsyncClient
 ) -> None:
-    """Only the row's name matters; taken for none, its zone would get work."""
+    """Only the row's key counts; if skipped, its zone would get requests."""
     await fleet.evacuate(content=b"\xff")
-    await fleet.ask_often(http)
+    await fleet.request_repeatedly(http)
     assert not any(replica.served for replica in fleet.in_z2)
 
 
@@ -120,7 +120,7 @@
     assert fleet.plain[1].served
 
 
-async def test_metrics_tell_of_evacuated_zones_and_cold_servers(
+async def test_metrics_show_evacuated_zones_and_cold_servers(
     fleet: ZonedFleet, http: httpx.AsyncClient
 ) -> None:
     cold = {"coldStartS": 30.0, "coldPerS": 7.0}
@@ -129,7 +129,7 @@
     await fleet.evacuate()
     fleet.engines[0].say(READY, coldLeftMs=30_000)
     await fleet.wait_until(lambda: fleet.node.driver.count_cold_servers() == 1)
-    page = (await http.get(f"{fleet.node.scrapes.url}/metrics")).text
+    page = (await http.get(f"{fleet.node.metrics_server.url}/metrics")).text
     assert "godwit_zone_evacuated 1.0" in page
     assert "godwit_cold_servers 1.0" in page
 
@@ -143,10 +143,10 @@
         self.store.put(OPERATOR_TABLE, "evacuate/z1", b"{}")
 
 
-async def test_vm_that_starts_knows_of_an_evacuation_before_it_is_ready(
+async def test_starting_vm_applies_an_evacuation_before_it_is_ready(
     http: httpx.AsyncClient,
 ) -> None:
-    """A VM starts in the midst of an evacuation, and serves as soon as it is ready."""
+    """A VM starts during an evacuation, and serves as soon as it is ready."""
     async with running(EvacuatedFleet()) as fleet:
         fleet.store.put_config(config_of(1))
         await fleet.wait_until(lambda: fleet.node.app.ready)
--- a/tests/test_platform_catalog.py
+++ b/tests/test_platform_catalog.py
@@ -1,4 +1,4 @@
-"""The platform's configuration and server rows as the product's types."""
+"""Platform configuration and server rows, converted to the router's types."""
 
 import pytest
 from msgspec import json
@@ -12,7 +12,7 @@
     read_config,
     read_servers,
 )
-from godwitmast.platform.front import read_deadline, read_parts, read_tokens
+from godwitmast.platform.frontend import read_deadline, read_parts, read_tokens
 from godwitmast.platform.store import count_requests
 from godwitmast.types import PoolName
 from godwitmast.usage.rows import FrozenWindow
@@ -57,7 +57,7 @@
         read_config(content)
 
 
-def test_configuration_without_tenants_asks_for_no_key() -> None:
+def test_configuration_without_tenants_requires_no_key() -> None:
     config = config_of(1)
     del config["tenants"]
     found = read_config(json.encode(config)).routes.match("gifts.example", "/pay/1")
@@ -85,7 +85,7 @@
     assert read_tokens("1460") == read_tokens("a,b") == (0, 0)
 
 
-def test_reader_knows_the_last_whole_event_however_bytes_are_split() -> None:
+def test_reader_keeps_the_last_complete_event_id_however_bytes_are_split() -> None:
     stream = b"".join(b"id: %d\ndata: x\n\n" % n for n in range(1, 4))
     for size in range(1, len(stream)):
         reader = EventIdReader()
@@ -94,7 +94,7 @@
         assert (reader.delivered, reader.last_id) == (3, "3")
 
 
-def test_half_an_event_is_dropped_before_another_server_goes_on() -> None:
+def test_partial_event_is_discarded_before_another_server_resumes() -> None:
     reader = EventIdReader()
     assert reader.feed(b"id: 1\ndata: a\n\nid: 2\nda") == b"id: 1\ndata: a\n\n"
     reader.discard_partial_event()
@@ -121,7 +121,7 @@
         ({"batchSlots": 8}, False),
     ],
 )
-def test_engines_copy_parts_only_over_links_that_beat_reading(
+def test_engines_copy_parts_only_over_links_faster_than_prefill(
     engine: dict[str, float], fetches: bool
 ) -> None:
     config = config_of(1)
@@ -143,7 +143,7 @@
 @pytest.mark.parametrize(
     "said", [{"coldStartS": 3.0}, {"coldPerS": 7.0}, {"coldStartS": 3, "coldPerS": -1}]
 )
-def test_service_without_a_whole_bound_for_cold_servers_has_none(
+def test_service_without_a_complete_bound_for_cold_servers_has_none(
     said: dict[str, float],
 ) -> None:
     config = config_of(1)
@@ -169,7 +169,7 @@
         ({"coldLeftMs": -80}, 0.0, 0),
     ],
 )
-def test_row_tells_how_long_its_server_stays_cold(
+def test_row_states_how_long_its_server_stays_cold(
     said: dict[str, float], cold_s: float, incarnation: int
 ) -> None:
     [server] = read_servers({"e1": json.encode(ROW | said)}).values()
@@ -177,7 +177,7 @@
 
 
 @pytest.mark.parametrize("said", [{"coldLeftMs": "long"}, {"born": [1]}])
-def test_row_with_a_field_of_another_type_names_no_server(
+def test_row_with_a_field_of_another_type_adds_no_server(
     said: dict[str, object],
 ) -> None:
     assert read_servers({"e1": json.encode(ROW | said)}) == {}
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -1,4 +1,4 @@
-"""The whole path on a stand-in of the users' platform, over real sockets."""
+"""A node's request path against stand-ins of the users' platform, over sockets."""
 
 import json
 from collections.abc import AsyncIterator
@@ -10,7 +10,7 @@
 
 from fleet import HOST, KEY, OTHER_KEY, PROMPT, Fleet, config_of, request_headers, route
 from godwitmast.capacity.zonal_duty import ROUND_S
-from godwitmast.platform import front
+from godwitmast.platform import frontend
 from godwitmast.platform.daemon import BALANCER_WAIT_S
 from godwitmast.platform.wire import ORDER_SERVERS
 from godwitmast.platform_api import feed
@@ -22,7 +22,7 @@
 
 @pytest.fixture(autouse=True)
 def short_waits(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let calls that wait for changes return soon, so that an outage is noticed."""
+    """Shorten the calls that wait for changes, so that an outage is detected soon."""
     monkeypatch.setattr(feed, "WAIT_S", 0.3)
 
 
@@ -61,10 +61,10 @@
     assert KEY not in str(served.headers)
 
 
-async def test_prompt_that_passes_its_first_engine_names_it_as_source(
+async def test_prompt_sent_elsewhere_names_the_engine_that_cached_it_as_source(
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
-    """The engine that has read an opening sheds; the next one is told to copy it."""
+    """The engine that holds a prompt's prefix sheds; the next one is to copy it."""
     config = config_of(2)
     config["services"][0]["engine"] = {"kvTokenBytes": 1000, "linkMbps": 1_000_000.0}
     fleet.store.put_config(config)
@@ -80,7 +80,7 @@
     assert other.served[-1].headers["kv-fetch"] == source
 
 
-async def test_headers_that_only_the_router_sets_are_not_taken_from_callers(
+async def test_headers_that_only_the_router_sets_are_not_accepted_from_callers(
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
     forged = {"Tenant": "couva", "Hold": "h", "Pin_Ms": "9", "Kv_From": "1.2.3.4:5/x"}
@@ -126,7 +126,7 @@
     assert any(engine.served for engine in fleet.engines)
 
 
-async def test_public_route_takes_requests_without_a_key(
+async def test_public_route_accepts_requests_without_a_key(
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
     answer = await fleet.request(http, "/open/1", Authorization="Bearer wrong")
@@ -136,42 +136,42 @@
     assert "authorization" not in served.headers
 
 
-async def test_stream_comes_event_by_event(
+async def test_stream_is_forwarded_event_by_event(
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
     for engine in fleet.engines:
         engine.event_s = 0.2
-    came: list[float] = []
+    arrivals: list[float] = []
     url = fleet.url + "/chat/1"
     async with http.stream("POST", url, headers=request_headers(**PROMPT)) as answer:
         text = ""
         async for piece in answer.aiter_text():
-            came.append(anyio.current_time())
+            arrivals.append(anyio.current_time())
             text += piece
     assert text == "".join(f"id: {n}\ndata: event {n}\n\n" for n in range(1, 6))
-    assert len(came) >= 4
+    assert len(arrivals) >= 4
     assert answer.headers["server-seal"] in {"e1", "e2"}
 
 
-async def test_cut_stream_goes_on_at_another_server(
+async def test_cut_stream_resumes_on_another_server(
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
     """The first engine's connection breaks in the middle of its third event.
 
-    The caller has two whole events; the rest comes from the other engine, which is told
-    the last one's id. No event is missing or comes twice, and the head is the first's.
+    The caller has two complete events; the rest comes from the other engine, which gets
+    the last one's id. No event is lost or repeated; the headers are the first engine's.
     """
     first, second = fleet.engines
     first.faults.cut_after = second.faults.cut_after = 2
-    asked = anyio.Event()
+    fault_cleared = anyio.Event()
 
-    async def mend() -> None:
+    async def clear_fault() -> None:
         await fleet.wait_until(lambda: first.served or second.served)
         (second if first.served else first).faults.cut_after = None
-        asked.set()
+        fault_cleared.set()
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(mend)
+        tasks.start_soon(clear_fault)
         answer = await fleet.request(http, "/chat/1", "POST", **PROMPT)
     assert answer.text == "".join(f"id: {n}\ndata: event {n}\n\n" for n in range(1, 6))
     served = [s for engine in fleet.engines for s in engine.served]
@@ -181,7 +181,7 @@
     assert answer.headers["server-seal"] == broken.server_id
 
 
-async def test_cut_stream_that_may_not_be_resumed_does_not_look_whole(
+async def test_cut_stream_that_may_not_be_resumed_does_not_look_complete(
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
     for engine in fleet.engines:
@@ -191,7 +191,7 @@
     assert sum(len(engine.served) for engine in fleet.engines) == 1
 
 
-async def test_server_that_runs_nothing_costs_no_request(
+async def test_server_that_sheds_everything_fails_no_request(
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
     fleet.plain[0].faults.sheds = True
@@ -199,7 +199,7 @@
     assert [answer.status_code for answer in answers] == [200] * 6
 
 
-async def test_refusal_of_what_no_server_ran_promises_so_and_says_when_to_return(
+async def test_refusal_of_a_request_that_was_not_run_has_status_503_and_retry_after(
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
     for replica in fleet.plain:
@@ -210,7 +210,7 @@
     assert not any(replica.served for replica in fleet.plain)
 
 
-async def test_server_error_is_made_good_only_where_the_request_may_be_repeated(
+async def test_server_error_is_retried_only_where_the_request_may_be_repeated(
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
     fleet.plain[0].faults.status = 500
@@ -224,7 +224,7 @@
     assert sum(len(replica.served) for replica in fleet.plain) == before + 1
 
 
-async def test_last_error_passes_unchanged_when_no_server_makes_it_good(
+async def test_last_error_is_forwarded_unchanged_when_every_attempt_fails(
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
     for replica in fleet.plain:
@@ -235,13 +235,13 @@
     assert sum(len(replica.served) for replica in fleet.plain) == 2
 
 
-async def test_answer_of_another_request_is_not_passed_on(
+async def test_answer_of_another_request_is_not_forwarded(
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
-    """A server's late answer to an earlier request stands on a kept connection.
+    """A late answer to an earlier request arrives on a connection that is reused.
 
-    Passed on, a caller would read somebody else's balance. The connection is closed,
-    and what may have run is answered with a status that promises nothing.
+    If it were forwarded, a caller would read another one's balance. The connection is
+    closed, and the status does not promise that the request was not run.
     """
     for replica in fleet.plain:
         replica.faults.wrong_id = True
@@ -251,7 +251,7 @@
     assert sum(len(replica.served) for replica in fleet.plain) == 1
 
 
-async def test_half_an_answer_is_not_passed_on(
+async def test_incomplete_answer_is_not_forwarded(
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
     for replica in fleet.plain:
@@ -260,7 +260,7 @@
     assert answer.status_code == 502
 
 
-async def test_caller_that_leaves_ends_the_work_at_the_server(
+async def test_request_ends_at_the_server_when_its_caller_disconnects(
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
     for engine in fleet.engines:
@@ -273,7 +273,7 @@
     await fleet.wait_until(lambda: not fleet.node.app.exchanges)
 
 
-async def test_route_time_limit_is_the_final_answer(
+async def test_route_timeout_is_answered_with_504(
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
     for replica in fleet.plain:
@@ -302,10 +302,10 @@
     assert not any(replica.served for replica in fleet.plain)
 
 
-async def test_request_inside_a_body_is_not_run(fleet: Fleet) -> None:
-    """A caller hides a second request behind two unlike lengths of the first.
+async def test_smuggled_request_is_not_run(fleet: Fleet) -> None:
+    """Request smuggling: a second request follows a first one with two lengths.
 
-    Whichever length is taken, no server may see the hidden one as a request.
+    Whichever length is applied, no server may receive the second as a request.
     """
     hidden = (
         f"POST /pay/hidden HTTP/1.1\r\nHost: {HOST}\r\nAttempt-Id: h\r\n"
@@ -325,21 +325,21 @@
     assert "/pay/hidden" not in targets
 
 
-async def test_body_that_does_not_come_is_refused_as_not_run(
+async def test_body_that_stalls_is_refused_as_not_run(
     fleet: Fleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A caller's phone loses its network in the middle of a payment's body.
+    """A caller's phone loses its network while it sends a payment's body.
 
-    The status promises that nothing ran, and no server gets half a payment.
+    The status promises that nothing ran, and no server receives an incomplete payment.
     """
-    monkeypatch.setattr(front, "BODY_TIMEOUT_S", 0.2)
-    asked = (
+    monkeypatch.setattr(frontend, "BODY_TIMEOUT_S", 0.2)
+    request = (
         f"POST /pay/1 HTTP/1.1\r\nHost: {HOST}\r\nAttempt-Id: s\r\n"
         f"Authorization: Bearer {KEY}\r\nDeadline-Ms: 5000\r\n"
         "Content-Length: 11\r\n\r\nten "
     )
     async with await anyio.connect_tcp("127.0.0.1", fleet.node.callers.port) as stream:
-        await stream.send(asked.encode())
+        await stream.send(request.encode())
         with anyio.fail_after(5):
             answer = await stream.receive()
     assert answer.startswith(b"HTTP/1.1 408 ")
@@ -347,13 +347,13 @@
 
 
 async def test_pipelined_requests_are_answered_in_order(fleet: Fleet) -> None:
-    asked = "".join(
+    request = "".join(
         f"GET /peek/{n} HTTP/1.1\r\nHost: {HOST}\r\nAttempt-Id: i{n}\r\n"
         f"Authorization: Bearer {KEY}\r\n\r\n"
         for n in (1, 2)
     )
     async with await anyio.connect_tcp("127.0.0.1", fleet.node.callers.port) as stream:
-        await stream.send(asked.encode())
+        await stream.send(request.encode())
         got = b""
         with anyio.fail_after(10):
             while got.count(b"answer of app") < 2:
@@ -361,7 +361,7 @@
     assert got.index(b"i1") < got.index(b"i2")
 
 
-async def test_withdrawn_key_is_refused_and_others_go_on(
+async def test_withdrawn_key_is_refused_and_others_still_work(
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
     tenants = [{"name": "couva", "apiKeys": [OTHER_KEY]}]
@@ -371,7 +371,7 @@
     assert other.status_code == 200
 
 
-async def test_configuration_never_goes_back_and_a_bad_one_changes_nothing(
+async def test_older_or_invalid_configuration_changes_nothing(
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
     moved = [route("peek", "/moved/", "idempotent", "app")]
@@ -394,7 +394,7 @@
     assert sum(len(engine.served) for engine in fleet.engines) == 4
 
 
-async def test_leaving_server_gets_nothing_new(
+async def test_leaving_server_gets_no_new_requests(
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
     first, second = fleet.plain
@@ -436,7 +436,7 @@
         ).encode(),
     ],
 )
-async def test_row_that_cannot_be_read_names_no_server_and_removes_none(
+async def test_row_that_cannot_be_read_adds_no_server_and_removes_none(
     fleet: Fleet, http: httpx.AsyncClient, content: bytes
 ) -> None:
     fleet.store.put("servers", "odd", content)
@@ -457,13 +457,13 @@
     }
 
 
-async def test_reused_address_is_noticed_and_the_request_runs_elsewhere(
+async def test_reused_address_is_detected_and_the_request_runs_elsewhere(
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
-    """A server has started again under another id, at the address of the old row.
+    """A server was restarted under another id, at the address of the old row.
 
-    It answers that it is not the one that is meant. That proves that nothing ran, so
-    that even a payment goes to another server.
+    It answers that it is not the addressed server. This proves that nothing ran, so that
+    even a payment may be sent to another server.
     """
     fleet.plain[0].server_id = "new"
     answers = [await fleet.request(http, "/pay/1", "POST") for _ in range(4)]
@@ -493,7 +493,7 @@
     assert fences == sorted(fences)
 
 
-async def test_store_that_is_away_does_not_stop_requests(
+async def test_unreachable_store_does_not_stop_requests(
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
     fleet.store.faults.refused = 503
@@ -504,7 +504,7 @@
     assert fleet.node.app.ready
 
 
-async def test_change_that_history_no_longer_tells_is_read_anew(
+async def test_change_missing_from_the_history_is_read_from_a_snapshot(
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
     fleet.store.faults.refused = 503
@@ -517,31 +517,31 @@
     await fleet.wait_until(lambda: fleet.node.config_version() == 7)
 
 
-async def test_node_that_knows_no_configuration_promises_not_run() -> None:
+async def test_node_without_configuration_answers_503() -> None:
     """A VM starts before any configuration is written.
 
-    A 401 or 404 would end a proper request for good; it answers 503, and the balancer
-    is told that it is not ready.
+    With a 401 or 404 a caller would give up on a valid request; the VM answers 503, and
+    reports to the load balancer that it is not ready.
     """
     async with running(Fleet(configured=False)) as fleet, httpx.AsyncClient() as http:
         await fleet.wait_until(lambda: fleet.node.servers_known)
-        ready = f"{fleet.node.balancer.url}/api/ready"
+        ready = f"{fleet.node.readiness_server.url}/api/ready"
         assert (await http.get(ready)).status_code == 503
         assert (await fleet.request(http, "/peek/1")).status_code == 503
         fleet.store.put_config(config_of(1))
         await fleet.wait_until(lambda: fleet.node.app.ready)
         assert (await http.get(ready)).status_code == 200
-        metrics = (await http.get(f"{fleet.node.scrapes.url}/metrics")).text
+        metrics = (await http.get(f"{fleet.node.metrics_server.url}/metrics")).text
         assert "godwit_config_version 1.0" in metrics
         assert 'godwit_platform_calls_total{call="follow"}' in metrics
         assert 'godwit_relay_table_age_seconds{table="servers"} 0.' in metrics
 
 
-async def test_stop_leaves_requests_the_time_that_they_are_owed() -> None:
-    """A stream is still at work when five sixths of the grace are over.
+async def test_stop_gives_requests_five_sixths_of_the_grace_period() -> None:
+    """A stream is still running when five sixths of the grace period are over.
 
-    Cut before, it is lost though the server would have ended it in time; and the
-    process has to be gone before the grace is, or it is killed with its usage.
+    Cut earlier, it is lost although the server would have completed it in time. The
+    process must end within the period, or it is killed with usage not yet written.
     """
     async with running(Fleet()) as fleet:
         grace_s = fleet.node.settings.bounds.grace_s
@@ -550,13 +550,13 @@
         assert cut_at + fleet.node.writer.timing.stop_s < grace_s * 0.95
 
 
-async def test_stop_lets_open_streams_end_and_tells_callers_to_go(
+async def test_stop_completes_open_streams_and_closes_connections(
     http: httpx.AsyncClient,
 ) -> None:
-    """The VM is told to stop in the middle of a stream.
+    """The VM is stopped in the middle of a stream.
 
-    It is not ready at once, a request that still comes is served and told to close its
-    connection, the stream ends whole, and the lease is given up.
+    It stops being ready at once, a request that still arrives is served on a
+    connection that then closes, the stream is completed, and the lease is released.
     """
     async with running(Fleet()) as fleet, anyio.create_task_group() as tasks:
         for engine in fleet.engines:
@@ -593,12 +593,12 @@
 ]
 
 
-async def test_holder_orders_room_as_cheap_servers_within_the_limits(
+async def test_holder_orders_cheap_servers_within_the_limits(
     fleet: Fleet,
 ) -> None:
-    """Two engines on demand were there, and four are allowed: the first two cheap ones.
+    """Two on-demand engines run and four are allowed: two cheap ones are ordered first.
 
-    The one that the cheap ones replace is given back only once they serve.
+    The on-demand engine that they replace is released only once they serve.
     """
     await fleet.configure(2, services=SCALED)
     await fleet.wait_until(lambda: fleet.store.orders)
@@ -613,7 +613,7 @@
     assert fleet.store.orders[1][2:] == ("lm", "z1", "standard", 1)
 
 
-async def test_order_that_cannot_be_had_is_not_sent_each_round(fleet: Fleet) -> None:
+async def test_unavailable_order_is_not_repeated_each_round(fleet: Fleet) -> None:
     fleet.store.faults.dry = True
     await fleet.configure(2, services=SCALED)
     await fleet.wait_until(lambda: ORDER_SERVERS in fleet.store.calls)
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.anyio
-async def test_changed_file_is_taken_without_a_signal_and_a_bad_one_is_not(
+async def test_changed_file_is_applied_without_a_signal_and_an_invalid_one_is_not(
     tmp_path: Path,
 ) -> None:
     path = tmp_path / "settings.toml"
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -14,7 +14,7 @@
 from godwitmast.entry.request_parsing import RequestHead
 from godwitmast.keys.authorizer import Caller
 from godwitmast.platform.catalog import Ranks, engine_priority, read_config
-from godwitmast.platform.front import RouteFront
+from godwitmast.platform.frontend import RouteFrontend
 from godwitmast.platform.wire import REQUEST_PRIORITY
 from godwitmast.standins.engine_model import EngineModel, EngineSpeed, Sequence
 from godwitmast.types import BackendId, ZoneName
@@ -28,8 +28,8 @@
 TEAMS = {"gold": 0, "many": 1}
 
 
-def front_of(**teams: int) -> RouteFront:
-    """Return a front with three streaming routes and teams with these priorities."""
+def frontend_for(**teams: int) -> RouteFrontend:
+    """Return a frontend with three streaming routes and teams with these priorities."""
     routes = [
         route(f"r{kind}", f"/{kind}/", "streaming", "lm", priority=kind, resumable=True)
         for kind in TOKENS
@@ -38,34 +38,34 @@
         {"name": name, "apiKeys": [f"key-of-{name}"], "priority": priority}
         for name, priority in teams.items()
     ]
-    front = RouteFront()
+    frontend = RouteFrontend()
     config = config_of(1, routes=routes, tenants=tenants)
-    front.take_catalog(read_config(json.encode(config)))
-    return front
+    frontend.apply_catalog(read_config(json.encode(config)))
+    return frontend
 
 
-def prepare(front: RouteFront, kind: int, team: str) -> Prepared:
-    """Return a request of a kind as the front prepares it."""
+def prepare(frontend: RouteFrontend, kind: int, team: str) -> Prepared:
+    """Return a request of a kind as the frontend prepares it."""
     key = f"key-of-{team}"
     path = f"/{kind}/x"
     head = RequestHead("POST", path, path, "", [], key, None, 60.0, None, "a", HOST)
-    caller = front.authenticate(head, 0.0)
+    caller = frontend.authenticate(head, 0.0)
     assert isinstance(caller, Caller)
-    prepared = front.prepare(Incoming(head, caller, b"", 0.0))
+    prepared = frontend.prepare(Incoming(head, caller, b"", 0.0))
     assert isinstance(prepared, Prepared)
     return prepared
 
 
-def priority_sent(front: RouteFront, kind: int, team: str) -> int:
+def priority_sent(frontend: RouteFrontend, kind: int, team: str) -> int:
     """Return the priority that is sent to an engine with a request."""
-    headers = dict(prepare(front, kind, team).outbound.headers)  # type: ignore[attr-defined]
+    headers = dict(prepare(frontend, kind, team).outbound.headers)  # type: ignore[attr-defined]
     return int(headers[REQUEST_PRIORITY])
 
 
 def test_engine_preempts_no_request_while_it_runs_a_less_urgent_kind() -> None:
     """Guards against summaries of one team that keep running while questions of all
     others are preempted."""
-    front = front_of(**TEAMS)
+    frontend = frontend_for(**TEAMS)
     engine = EngineModel(EngineSpeed(max_batch=16, preempts=True))
     kinds: dict[str, int] = {}
     numbers = count(1)
@@ -73,7 +73,7 @@
     def submit(kind: int, team: str) -> None:
         name = f"{team}-{next(numbers)}"
         kinds[name] = kind
-        priority = priority_sent(front, kind, team)
+        priority = priority_sent(frontend, kind, team)
         engine.submit(Sequence(name, *TOKENS[kind], priority=priority))
 
     for step in range(600):
@@ -106,7 +106,7 @@
 ) -> None:
     """Guards against VMs on two configurations that order an engine's requests
     differently."""
-    before, after = front_of(**TEAMS), front_of(**changed)
+    before, after = frontend_for(**TEAMS), frontend_for(**changed)
     for kind in (CHAT, DRAFT):
         held = priority_sent(before, kind + 1, "many")
         assert priority_sent(after, kind, "many") < held
@@ -118,10 +118,10 @@
     """Guards against requests that an engine runs at its default priority."""
     routes = [route("r", "/0/", "idempotent", "lm", priority=0)]
     tenants = [{"name": "many", "apiKeys": ["key-of-many"], "priority": 1}]
-    front = RouteFront()
+    frontend = RouteFrontend()
     config = config_of(1, routes=routes, tenants=tenants)
-    front.take_catalog(read_config(json.encode(config)))
-    assert priority_sent(front, CHAT, "many") == 0
+    frontend.apply_catalog(read_config(json.encode(config)))
+    assert priority_sent(frontend, CHAT, "many") == 0
 
 
 def test_engine_priority_is_clamped_to_its_range() -> None:
@@ -129,16 +129,16 @@
 
 
 def find_preempted(
-    front: RouteFront, running: list[str], waiting: str
+    frontend: RouteFrontend, running: list[str], waiting: str
 ) -> RequestSpec | None:
     """Return which of the running requests is preempted for a waiting one, if any is.
 
     Each is named by its team and kind, such as "many-1".
     """
-    admission = Admission(front.document)
+    admission = Admission(frontend.document)
     for name in [*running, waiting]:
         team, _, kind = name.partition("-")
-        request = prepare(front, int(kind), team).spec
+        request = prepare(frontend, int(kind), team).spec
         assert admission.offer(request, 0.0) == []
         if name is not waiting:
             assert admission.pop_next(request.pool, 0.0) == request
@@ -166,14 +166,14 @@
     running: list[str], waiting: str, victim: str | None
 ) -> None:
     """Guards against drafts that are preempted for the summaries of another team."""
-    front = front_of(**TEAMS)
-    found = find_preempted(front, running, waiting)
+    frontend = frontend_for(**TEAMS)
+    found = find_preempted(frontend, running, waiting)
     if victim is None:
         assert found is None
     else:
         assert found is not None
         team, _, kind = victim.partition("-")
-        assert found.fingerprint == prepare(front, int(kind), team).spec.fingerprint
+        assert found.fingerprint == prepare(frontend, int(kind), team).spec.fingerprint
 
 
 @pytest.mark.parametrize("team", ["gold", "many"])
@@ -193,9 +193,9 @@
 ) -> None:
     """Guards against requests that are refused while other VMs' summaries occupy
     engines."""
-    front = front_of(**TEAMS)
-    admission = Admission(front.document)
-    request = prepare(front, kind, team).spec
+    frontend = frontend_for(**TEAMS)
+    admission = Admission(frontend.document)
+    request = prepare(frontend, kind, team).spec
     assert admission.offer(request, 0.0) == []
     found = [
         admission.preempt(request.pool, tick * 0.05, True, excess_waits)
@@ -207,9 +207,9 @@
 
 def test_draft_is_sent_to_a_full_engine_only_when_it_would_be_refused() -> None:
     """Guards against engines overfilled by requests that could still wait."""
-    front = front_of(**TEAMS)
-    admission = Admission(front.document)
-    request = prepare(front, DRAFT, "many").spec
+    frontend = frontend_for(**TEAMS)
+    admission = Admission(frontend.document)
+    request = prepare(frontend, DRAFT, "many").spec
     assert admission.offer(request, 0.0) == []
     urgent_at = admission.jobs[request.request_id].urgent_at
     assert urgent_at > 0.1
@@ -220,13 +220,13 @@
 def test_draft_preempts_a_summary_of_its_own_vm_before_it_overfills_an_engine() -> None:
     """Guards against preemption inside engines when this VM could have freed a place
     itself."""
-    front = front_of(**TEAMS)
-    admission = Admission(front.document)
-    running = prepare(front, DIGEST, "many").spec
+    frontend = frontend_for(**TEAMS)
+    admission = Admission(frontend.document)
+    running = prepare(frontend, DIGEST, "many").spec
     assert admission.offer(running, 0.0) == []
     assert admission.pop_next(running.pool, 0.0) == running
     admission.record_tokens(running, 1, 0.0)
-    waiting = prepare(front, DRAFT, "many").spec
+    waiting = prepare(frontend, DRAFT, "many").spec
     assert admission.offer(waiting, 0.0) == []
     urgent_at = admission.jobs[waiting.request_id].urgent_at
     preemption = admission.preempt(waiting.pool, urgent_at, True, True)
@@ -250,8 +250,8 @@
     kind: int, sent: bool
 ) -> None:
     """Guards against drafts refused by VMs that run nothing that they could preempt."""
-    front = front_of(**TEAMS)
-    router = Router(front.document, ZoneName("a"), seed=1)
+    frontend = frontend_for(**TEAMS)
+    router = Router(frontend.document, ZoneName("a"), seed=1)
     pools = frozenset(["lm"])
     engines = [
         BackendSpec(BackendId(f"engine-{n}"), ZoneName("a"), pools, places=1)
@@ -259,10 +259,10 @@
     ]
     router.update_backends(engines, 0.0)
     for _ in engines:
-        running = prepare(front, CHAT, "many").spec
+        running = prepare(frontend, CHAT, "many").spec
         router.submit(running, 0.0)
         assert router.active_requests.by_id[running.request_id].backend_id is not None
-    waiting = prepare(front, kind, "many").spec
+    waiting = prepare(frontend, kind, "many").spec
     assert router.submit(waiting, 0.1) == []
     actions = [action for tick in range(2, 400) for action in router.tick(tick * 0.05)]
     mine = [
