--- a/src/godwitmast/load/__init__.py
+++ b/src/godwitmast/load/__init__.py
@@ -1,1 +1,1 @@
-"""Load over HTTP, and scenarios played in virtual time."""
+"""Load tests over HTTP, and simulations of scenarios and fleets in virtual time."""
--- a/src/godwitmast/load/admission_cost.py
+++ b/src/godwitmast/load/admission_cost.py
@@ -1,4 +1,4 @@
-"""What one decision of admission costs, and how that grows with what waits."""
+"""Cost of one admission decision, by the number of teams and of waiting requests."""
 
 import random
 import time
@@ -24,7 +24,7 @@
 
 
 def make_admission(teams: int) -> Admission:
-    """Return admission with seven tiers and so many teams."""
+    """Return an Admission with seven tiers and this many teams."""
     document = parse_document(
         {
             "classes": {
@@ -43,8 +43,8 @@
 ) -> AdmissionCost:
     """Time each step while `waiting` requests of `teams` teams wait.
 
-    Each round takes the request that goes next, ends it, and offers another, so that
-    as many wait all the time.
+    Each round offers a request, and pops and ends the next one, so that the number of
+    waiting requests stays the same.
     """
     draw = random.Random(seed)
     admission = make_admission(teams)
@@ -61,21 +61,27 @@
     times: list[tuple[float, float, float]] = []
     for number in range(waiting, waiting + rounds):
         now = number * 1e-4
-        fresh = make(number)
-        start = time.perf_counter()
-        admission.offer(fresh, now)
-        offered = time.perf_counter()
+        new_request = make(number)
+        offering_at = time.perf_counter()
+        admission.offer(new_request, now)
+        offered_at = time.perf_counter()
         request = admission.pop_next(POOL, now)
-        taken = time.perf_counter()
+        popped_at = time.perf_counter()
         assert request is not None
         admission.record_tokens(request, 100, now)
-        ending = time.perf_counter()
+        ending_at = time.perf_counter()
         admission.record_end(request, now, completed=True)
-        times.append((offered - start, taken - offered, time.perf_counter() - ending))
-    middle = [
+        times.append(
+            (
+                offered_at - offering_at,
+                popped_at - offered_at,
+                time.perf_counter() - ending_at,
+            )
+        )
+    medians = [
         sorted(column)[len(times) // 2] * 1e6 for column in zip(*times, strict=True)
     ]
-    return AdmissionCost(teams, waiting, *middle)
+    return AdmissionCost(teams, waiting, *medians)
 
 
 SIZES = ((10, 100), (10, 1000), (630, 1000), (6300, 1000), (6300, 10_000))
--- a/src/godwitmast/load/baselines.py
+++ b/src/godwitmast/load/baselines.py
@@ -1,4 +1,4 @@
-"""Policies to compare with: what a plain proxy does, and plain strict priority."""
+"""Baseline policies for comparison: a plain proxy, and strict priority."""
 
 import itertools
 from collections import deque
@@ -21,17 +21,17 @@
 from godwitmast.types import AttemptId, BackendId, RequestId
 
 QUEUE_LIMIT = 1000
-"""A plain proxy's queue is long, but it has an end."""
+"""The queue of a plain proxy is long but bounded."""
 
 IN_FLIGHT_LIMIT = 16
-"""Twice the model engine's batch: enough to keep it busy."""
+"""Twice the model engine's batch, which is enough to keep it busy."""
 
 MAX_ATTEMPTS = 3
 
 
 @dataclass(slots=True)
-class Held:
-    """A request that the baseline has taken."""
+class ActiveRequest:
+    """An accepted request that has not ended, waiting or running."""
 
     request: RequestSpec
     attempt_id: AttemptId | None = None
@@ -42,12 +42,12 @@
 
 @dataclass
 class Baseline:
-    """What both baselines share: queue, in-flight counts, retry on failure."""
+    """Base class of the baselines: queue, in-flight counts and retry on failure."""
 
     document: Document
     backends: dict[BackendId, BackendSpec] = field(default_factory=dict)
     in_flight: dict[BackendId, int] = field(default_factory=dict)
-    held: dict[RequestId, Held] = field(default_factory=dict)
+    active_requests: dict[RequestId, ActiveRequest] = field(default_factory=dict)
     queue: deque[RequestId] = field(default_factory=deque)
 
     def __post_init__(self) -> None:
@@ -61,27 +61,27 @@
         self.backends = {b.backend_id: b for b in backends if not b.leaving}
         for backend in backends:
             self.in_flight.setdefault(backend.backend_id, 0)
-        return self.pump()
+        return self.start_waiting()
 
     def submit(self, request: RequestSpec, now: float) -> list[Action]:
         if len(self.queue) >= QUEUE_LIMIT:
             refusal = Refuse(request.request_id, RefusalCode.SHED, NotRun.TRUE, 1.0)
             return [refusal]
-        self.held[request.request_id] = Held(request)
+        self.active_requests[request.request_id] = ActiveRequest(request)
         self.queue.append(request.request_id)
-        return self.pump()
+        return self.start_waiting()
 
     def record_tokens(
         self, request_id: RequestId, attempt_id: AttemptId, count: int, now: float
     ) -> list[Action]:
-        self.held[request_id].tokens += count
+        self.active_requests[request_id].tokens += count
         return []
 
     def record_completion(
         self, request_id: RequestId, attempt_id: AttemptId, now: float
     ) -> list[Action]:
-        self.release(self.held.pop(request_id))
-        return self.pump()
+        self.release(self.active_requests.pop(request_id))
+        return self.start_waiting()
 
     def record_failure(
         self,
@@ -90,28 +90,28 @@
         kind: FailureKind,
         now: float,
     ) -> list[Action]:
-        """Retry what has not begun to answer; a plain proxy does not resume."""
-        held = self.held[request_id]
-        self.release(held)
-        if held.attempts >= MAX_ATTEMPTS or held.tokens:
-            del self.held[request_id]
+        """Retry a request without tokens; a plain proxy does not resume streams."""
+        active = self.active_requests[request_id]
+        self.release(active)
+        if active.attempts >= MAX_ATTEMPTS or active.tokens:
+            del self.active_requests[request_id]
             refusal = Refuse(request_id, RefusalCode.BACKEND_FAILED, NotRun.UNKNOWN)
-            return [refusal, *self.pump()]
+            return [refusal, *self.start_waiting()]
         self.queue.appendleft(request_id)
-        return self.pump()
+        return self.start_waiting()
 
     def cancel_request(
         self, request_id: RequestId, reason: CancelReason, now: float
     ) -> list[Action]:
-        held = self.held.pop(request_id, None)
-        if held is None:
+        active = self.active_requests.pop(request_id, None)
+        if active is None:
             return []
-        if held.attempt_id is None:
+        if active.attempt_id is None:
             self.queue.remove(request_id)
             return []
-        cancel = Cancel(request_id, held.attempt_id, reason)
-        self.release(held)
-        return [cancel, *self.pump()]
+        cancel = Cancel(request_id, active.attempt_id, reason)
+        self.release(active)
+        return [cancel, *self.start_waiting()]
 
     def record_load(
         self, backend_id: BackendId, report: LoadReport, now: float
@@ -121,58 +121,60 @@
     def tick(self, now: float) -> list[Action]:
         return []
 
-    def release(self, held: Held) -> None:
-        if held.backend_id is not None:
-            self.in_flight[held.backend_id] -= 1
-        held.attempt_id = held.backend_id = None
+    def release(self, active: ActiveRequest) -> None:
+        if active.backend_id is not None:
+            self.in_flight[active.backend_id] -= 1
+        active.attempt_id = active.backend_id = None
 
-    def pump(self) -> list[Action]:
+    def start_waiting(self) -> list[Action]:
         actions: list[Action] = []
         while self.queue:
             free = [b for b in self.backends if self.in_flight[b] < IN_FLIGHT_LIMIT]
             if not free:
                 break
-            held = self.held[self.take_next()]
-            backend_id = self.choose(free)
-            held.attempt_id = AttemptId(next(self.attempt_ids))
-            held.backend_id = backend_id
-            held.attempts += 1
+            active = self.active_requests[self.pop_next()]
+            backend_id = self.choose_backend(free)
+            active.attempt_id = AttemptId(next(self.attempt_ids))
+            active.backend_id = backend_id
+            active.attempts += 1
             self.in_flight[backend_id] += 1
             actions.append(
-                Start(held.request.request_id, held.attempt_id, backend_id, 0)
+                Start(active.request.request_id, active.attempt_id, backend_id, 0)
             )
         return actions
 
-    def take_next(self) -> RequestId:
+    def pop_next(self) -> RequestId:
         raise NotImplementedError
 
-    def choose(self, free: list[BackendId]) -> BackendId:
+    def choose_backend(self, free: list[BackendId]) -> BackendId:
         raise NotImplementedError
 
 
 class FifoLeastOutstanding(Baseline):
-    """First come, first served, to the server with the fewest requests."""
+    """First in, first out, on the server with the fewest requests in flight."""
 
-    def take_next(self) -> RequestId:
+    def pop_next(self) -> RequestId:
         return self.queue.popleft()
 
-    def choose(self, free: list[BackendId]) -> BackendId:
+    def choose_backend(self, free: list[BackendId]) -> BackendId:
         return min(free, key=lambda backend_id: self.in_flight[backend_id])
 
 
 class StrictRoundRobin(Baseline):
-    """The highest tier first, always, to one server after the other."""
+    """Strict priority by tier, with the servers in round-robin order."""
 
-    turn = 0
+    starts = 0
 
-    def take_next(self) -> RequestId:
+    def pop_next(self) -> RequestId:
         best = min(
             self.queue,
-            key=lambda i: self.document.classes[self.held[i].request.class_name].tier,
+            key=lambda i: (
+                self.document.classes[self.active_requests[i].request.class_name].tier
+            ),
         )
         self.queue.remove(best)
         return best
 
-    def choose(self, free: list[BackendId]) -> BackendId:
-        self.turn += 1
-        return free[self.turn % len(free)]
+    def choose_backend(self, free: list[BackendId]) -> BackendId:
+        self.starts += 1
+        return free[self.starts % len(free)]
--- a/src/godwitmast/load/decision_cost.py
+++ b/src/godwitmast/load/decision_cost.py
@@ -1,8 +1,8 @@
-"""`godwit-load decision-cost`: what one decision costs, and how that grows.
+"""`godwit-load decision-cost`: cost of one decision, and its growth with the size.
 
-A router is filled to its servers' limits with requests waiting on top. Then, over and
-over, one request ends, the one that goes next is started in its place, and a new one
-comes: its time is what a request costs in decisions, tokens aside.
+A router runs as many requests as its servers' limits allow, with more of them waiting.
+Each timed cycle completes one request, starts the next in its place and submits a new
+one, which are all decisions of a request but those for its tokens.
 """
 
 import itertools
@@ -33,19 +33,19 @@
 TIERS = 7
 MODELS = 28
 ZONES = 7
-WARM_UP = 200
+WARM_UP_CYCLES = 200
 
 
 class Size(NamedTuple):
-    """How large a system is."""
+    """Size of a system."""
 
     waiting: int
     teams: int
     replicas: int
 
 
-WHOLE = Size(waiting=1000, teams=6300, replicas=850)
-"""What the users expect within two years, on one entry VM."""
+FULL_SIZE = Size(waiting=1000, teams=6300, replicas=850)
+"""Size that the users expect within two years, on one entry VM."""
 
 SIZES = {
     "waiting": (10, 100, 1000, 4000),
@@ -76,7 +76,7 @@
 
 
 class Bench:
-    """A router that is kept full."""
+    """A router with all servers at their limits and `size.waiting` waiting requests."""
 
     def __init__(self, size: Size, seed: int) -> None:
         self.size = size
@@ -99,7 +99,7 @@
         while self.router.admission.waiting_count < size.waiting:
             self.submit()
 
-    def request(self) -> RequestSpec:
+    def draw_request(self) -> RequestSpec:
         draw = self.random
         number = next(self.numbers)
         return RequestSpec(
@@ -113,64 +113,64 @@
             prefix=f"prefix-{draw.randrange(50)}",
         )
 
-    def note(self, actions: list[Action]) -> None:
+    def record_starts(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Start):
                 self.running.append((action.request_id, action.attempt_id))
 
     def submit(self) -> None:
-        self.note(self.router.submit(self.request(), self.now))
+        self.record_starts(self.router.submit(self.draw_request(), self.now))
 
     def draw_running(self) -> tuple[RequestId, AttemptId]:
-        place = self.random.randrange(len(self.running))
-        self.running[place], self.running[-1] = self.running[-1], self.running[place]
+        index = self.random.randrange(len(self.running))
+        self.running[index], self.running[-1] = self.running[-1], self.running[index]
         return self.running.pop()
 
     def cycle(self) -> float:
-        """End a request, start the next and take a new one; return the seconds."""
+        """Complete a request, start the next and submit another; return the seconds."""
         ids = self.draw_running()
-        request = self.request()
+        request = self.draw_request()
         self.now += 0.001
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         ended = self.router.record_completion(*ids, self.now)
-        taken = self.router.submit(request, self.now)
-        seconds = time.perf_counter() - began
-        self.note([*ended, *taken])
+        submitted = self.router.submit(request, self.now)
+        seconds = time.perf_counter() - started_at
+        self.record_starts([*ended, *submitted])
         while self.router.admission.waiting_count < self.size.waiting:
             self.submit()
         return seconds
 
-    def token(self) -> float:
+    def pass_token(self) -> float:
         ids = self.random.choice(self.running)
         self.now += 0.001
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         actions = self.router.record_tokens(*ids, 1, self.now)
-        seconds = time.perf_counter() - began
-        self.note(actions)
+        seconds = time.perf_counter() - started_at
+        self.record_starts(actions)
         return seconds
 
 
 def measure(size: Size, cycles: int, seed: int) -> Cost:
     """Return the median costs at a size."""
     bench = Bench(size, seed)
-    for _ in range(WARM_UP):
+    for _ in range(WARM_UP_CYCLES):
         bench.cycle()
     cycle = statistics.median(bench.cycle() for _ in range(cycles))
-    token = statistics.median(bench.token() for _ in range(cycles))
+    token = statistics.median(bench.pass_token() for _ in range(cycles))
     return Cost(cycle * 1e6, token * 1e6)
 
 
 def exponent(points: list[tuple[float, float]]) -> float:
-    """Return the power of the size with which a cost grows, by least squares."""
+    """Return the exponent with which a cost grows with the size, by least squares."""
     logs = [(math.log(size), math.log(cost)) for size, cost in points]
     return statistics.linear_regression(*zip(*logs, strict=True)).slope
 
 
 def decision_cost(
     cycles: Annotated[int, typer.Option(min=10, help="Decisions at each size.")] = 2000,
-    seed: Annotated[int, typer.Option(help="Seed of what is drawn.")] = 1,
+    seed: Annotated[int, typer.Option(help="Seed of the random draws.")] = 1,
 ) -> None:
-    """Print what a decision costs in µs, and the power of each size it grows with."""
+    """Print the cost of a decision in µs, and its growth exponent for each size."""
     table = Table(title="One decision: end, start and submit; and one token")
     for heading in ("varied", "waiting", "teams", "replicas", "cycle µs", "token µs"):
         table.add_column(heading)
@@ -179,7 +179,7 @@
         points: list[tuple[float, float]] = []
         for value in values:
             sizes: dict[str, Any] = {name: value}
-            size = WHOLE._replace(**sizes)
+            size = FULL_SIZE._replace(**sizes)
             cost = measure(size, cycles, seed)
             points.append((value, cost.cycle_us))
             table.add_row(
--- a/src/godwitmast/load/http_load.py
+++ b/src/godwitmast/load/http_load.py
@@ -1,8 +1,9 @@
-"""An open-loop generator over HTTP.
+"""An open-loop load generator over HTTP.
 
-Requests leave when the schedule says so, however slow the answers are, and latencies
-count from that moment. A closed loop waits for slow answers before it sends the next
-request, so the slowest moments are measured least ("coordinated omission", Gil Tene).
+Requests are sent at their scheduled times, however slow the answers are, and latencies
+count from these times. A closed loop waits for slow answers before it sends the next
+request, so that it has the fewest samples of the slowest periods ("coordinated
+omission", Gil Tene).
 """
 
 import time
@@ -16,20 +17,20 @@
 
 from godwitmast.load.mixes import ClassMix, Mix
 from godwitmast.load.result import LATE, MET, NOT_SENT, RunResult
-from godwitmast.load.schedule import Planned, RunPlan, draw_schedule, prompt_of
+from godwitmast.load.schedule import Planned, RunPlan, draw_schedule, make_prompt
 
-MOST_OPEN = 2_000
+MAX_OPEN = 2_000
 REQUEST_TIMEOUT_S = 300.0
 BETWEEN_TOKENS_S = 0.028
-"""The target between tokens of classes that name one for the first token."""
+"""Target for the mean gap between tokens, in classes without a completion target."""
 
-MOST_RESEND_WAIT_S = 10.0
+MAX_RESEND_WAIT_S = 10.0
 KEY_PREFIX = "gw-example-"
-"""The keys of the example configurations are this and the team's name."""
+"""The example configurations' keys consist of this prefix and the team's name."""
 
 
-class Heard(NamedTuple):
-    """What came back; times count from the intended sending, in seconds."""
+class CallResult(NamedTuple):
+    """Outcome of a call; its times count from the scheduled sending, in seconds."""
 
     outcome: str
     first_token_s: float | None = None
@@ -40,23 +41,23 @@
 
 @dataclass
 class HttpLoad:
-    """One run against one address."""
+    """One run of a plan against one URL."""
 
     plan: RunPlan
     mix: Mix
     url: str
     key_prefix: str = KEY_PREFIX
-    most_open: int = MOST_OPEN
+    max_open: int = MAX_OPEN
     progress: Callable[[RunResult, int], None] | None = None
 
     def __post_init__(self) -> None:
         self.result = RunResult(self.plan, self.url)
         self.targets = {item.name: item for item in self.mix.classes}
         self.open = 0
-        self.began = 0.0
+        self.started_at = 0.0
 
     async def run(self) -> RunResult:
-        """Send the whole schedule, and wait for the last answer."""
+        """Send all requests of the schedule, and wait for the last answer."""
         limits = httpx.Limits(max_connections=None, max_keepalive_connections=None)
         async with (
             httpx.AsyncClient(
@@ -64,36 +65,38 @@
             ) as client,
             anyio.create_task_group() as tasks,
         ):
-            self.began = time.monotonic()
+            self.started_at = time.monotonic()
             for request in draw_schedule(self.plan, self.mix):
-                await anyio.sleep(max(0.0, self.began + request.at - time.monotonic()))
-                behind = time.monotonic() - self.began - request.at
-                self.result.sent_late_s = max(self.result.sent_late_s, behind)
-                if self.open >= self.most_open:
-                    self.note(request, Heard(NOT_SENT))
+                await anyio.sleep(
+                    max(0.0, self.started_at + request.at - time.monotonic())
+                )
+                delay_s = time.monotonic() - self.started_at - request.at
+                self.result.sent_late_s = max(self.result.sent_late_s, delay_s)
+                if self.open >= self.max_open:
+                    self.record_result(request, CallResult(NOT_SENT))
                     continue
                 self.open += 1
                 tasks.start_soon(self.serve, client, request)
-        self.result.took_s = time.monotonic() - self.began
+        self.result.took_s = time.monotonic() - self.started_at
         return self.result
 
     async def serve(self, client: httpx.AsyncClient, request: Planned) -> None:
-        """Send one request, and once more if its caller is of that kind."""
+        """Send one request, and resend it once after a refusal if the plan says so."""
         try:
-            heard = await self.send(client, request)
-            if heard.retry_after_s is not None and request.resends:
-                await anyio.sleep(min(heard.retry_after_s, MOST_RESEND_WAIT_S))
-                heard = await self.send(client, request)
-            self.note(request, heard)
+            result = await self.send(client, request)
+            if result.retry_after_s is not None and request.resends:
+                await anyio.sleep(min(result.retry_after_s, MAX_RESEND_WAIT_S))
+                result = await self.send(client, request)
+            self.record_result(request, result)
         finally:
             self.open -= 1
 
-    async def send(self, client: httpx.AsyncClient, request: Planned) -> Heard:
+    async def send(self, client: httpx.AsyncClient, request: Planned) -> CallResult:
         body = {
             "model": self.mix.model,
             "stream": True,
             "max_tokens": request.answer_tokens,
-            "messages": [{"role": "user", "content": prompt_of(request)}],
+            "messages": [{"role": "user", "content": make_prompt(request)}],
         }
         headers = {
             "Authorization": f"Bearer {self.key_prefix}{request.team}",
@@ -106,73 +109,75 @@
                     return await read_refusal(answer)
                 return await self.read_stream(answer, request)
         except httpx.HTTPError as error:
-            return Heard(type(error).__name__)
+            return CallResult(type(error).__name__)
 
-    async def read_stream(self, answer: httpx.Response, request: Planned) -> Heard:
-        """Read a stream to its end; one that ends early or in an error failed."""
-        start = self.began + request.at
+    async def read_stream(self, answer: httpx.Response, request: Planned) -> CallResult:
+        """Read a stream to its end; an early end or an error event is its outcome."""
+        start = self.started_at + request.at
         first = None
         last = time.monotonic()
         tokens = 0
         async for line in answer.aiter_lines():
             if line == "data: [DONE]":
-                return Heard(MET, first, last - start, tokens)
+                return CallResult(MET, first, last - start, tokens)
             if '"content"' in line or '"text"' in line:
                 last = time.monotonic()
                 first = first if first is not None else last - start
                 tokens += 1
             elif line.startswith('data: {"error"'):
-                return Heard(error_code(line.removeprefix("data: ").encode()))
-        return Heard("cut", first, last - start, tokens)
+                return CallResult(error_code(line.removeprefix("data: ").encode()))
+        return CallResult("cut", first, last - start, tokens)
 
-    def note(self, request: Planned, heard: Heard) -> None:
-        """Count an outcome, and judge a whole answer by its class's targets."""
-        item = self.result.of(request.class_name)
-        outcome = heard.outcome
+    def record_result(self, request: Planned, result: CallResult) -> None:
+        """Count an outcome; a complete answer is judged by its class's targets."""
+        item = self.result.class_result(request.class_name)
+        outcome = result.outcome
         if outcome == MET:
-            outcome = self.judge(heard, self.targets[request.class_name])
-            item.tokens += heard.tokens
-            item.whole.record_value(microseconds(heard.whole_s))
-            if heard.first_token_s is not None:
-                item.first_token.record_value(microseconds(heard.first_token_s))
-            gap = between_tokens(heard)
+            outcome = self.judge(result, self.targets[request.class_name])
+            item.tokens += result.tokens
+            item.whole.record_value(microseconds(result.whole_s))
+            if result.first_token_s is not None:
+                item.first_token.record_value(microseconds(result.first_token_s))
+            gap = token_gap_s(result)
             if gap is not None:
                 item.between.record_value(microseconds(gap))
         item.count(outcome)
-        self.result.note_team(request.team, outcome == MET)
+        self.result.record_team(request.team, outcome == MET)
         if self.progress:
             self.progress(self.result, self.open)
 
-    def judge(self, heard: Heard, target: ClassMix) -> str:
-        first = heard.first_token_s or 0.0
-        gap = between_tokens(heard) or 0.0
+    def judge(self, result: CallResult, target: ClassMix) -> str:
+        first = result.first_token_s or 0.0
+        gap = token_gap_s(result) or 0.0
         interactive = target.completion_s is None
         late = (
             (target.first_token_s is not None and first > target.first_token_s)
-            or (target.completion_s is not None and heard.whole_s > target.completion_s)
+            or (
+                target.completion_s is not None and result.whole_s > target.completion_s
+            )
             or (interactive and gap > BETWEEN_TOKENS_S)
         )
         return LATE if late else MET
 
 
-def between_tokens(heard: Heard) -> float | None:
-    if heard.first_token_s is None or heard.tokens < 2:
+def token_gap_s(result: CallResult) -> float | None:
+    if result.first_token_s is None or result.tokens < 2:
         return None
-    return (heard.whole_s - heard.first_token_s) / (heard.tokens - 1)
+    return (result.whole_s - result.first_token_s) / (result.tokens - 1)
 
 
 def microseconds(seconds: float) -> int:
     return max(1, round(seconds * 1e6))
 
 
-async def read_refusal(answer: httpx.Response) -> Heard:
+async def read_refusal(answer: httpx.Response) -> CallResult:
     code = error_code(await answer.aread())
     wait = answer.headers.get("retry-after")
     try:
         retry = None if wait is None else float(wait)
     except ValueError:
         retry = None
-    return Heard(f"{answer.status_code} {code}", retry_after_s=retry)
+    return CallResult(f"{answer.status_code} {code}", retry_after_s=retry)
 
 
 def error_code(body: bytes) -> str:
--- a/src/godwitmast/load/mixes.py
+++ b/src/godwitmast/load/mixes.py
@@ -1,4 +1,4 @@
-"""What callers of both users ask for: when, how much, and who."""
+"""Traffic mixes of both users: rates over the day, classes, lengths and teams."""
 
 import math
 import random
@@ -14,7 +14,7 @@
 
     median: float
     sigma: float
-    most: int = 2048
+    max_tokens: int = 2048
 
     @property
     def mean(self) -> float:
@@ -26,7 +26,7 @@
 
     def draw(self, source: random.Random) -> int:
         drawn = source.lognormvariate(math.log(self.median), self.sigma)
-        return max(1, min(self.most, round(drawn)))
+        return max(1, min(self.max_tokens, round(drawn)))
 
 
 class ClassMix(NamedTuple):
@@ -48,13 +48,13 @@
     share: float
 
 
-class Hours(NamedTuple):
-    """The rate at each hour of a day against the peak of an ordinary day."""
+class DailyProfile(NamedTuple):
+    """Request rates at each hour of a day, relative to the peak of an ordinary day."""
 
     rates: tuple[float, ...]
 
     def at(self, seconds: float) -> float:
-        """Return the rate at a time of day, drawn straight between the hours."""
+        """Return the rate at a time of day, interpolated between the hours."""
         hour = seconds % DAY_S / HOUR_S
         low = int(hour)
         share = hour - low
@@ -64,17 +64,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Mix:
-    """The callers of one user; `peak_per_s` is the top of an ordinary day.
+    """The traffic of one user; `peak_per_s` is the peak rate of an ordinary day.
 
-    `days` holds a factor for each day that the mix runs. Bursts come `bursts_per_day`
-    times at random, multiply the rate, and die away over `burst_s`. A share `resend`
-    of refused requests is sent again once.
+    `days` holds a factor of the rate for each day of the mix. `bursts_per_day` bursts
+    start at random times; each multiplies the rate by a factor that declines over
+    `burst_s`. A share `resend` of refused requests is sent again once.
     """
 
     name: str
     model: str
     peak_per_s: float
-    hours: Hours
+    hours: DailyProfile
     days: tuple[float, ...]
     classes: tuple[ClassMix, ...]
     teams: tuple[TeamMix, ...]
@@ -89,7 +89,7 @@
         return len(self.days) * DAY_S
 
     def rate(self, seconds: float) -> float:
-        """Return requests a second without bursts."""
+        """Return the rate in requests a second, without bursts."""
         day = int(seconds // DAY_S) % len(self.days)
         return self.peak_per_s * self.days[day] * self.hours.at(seconds)
 
@@ -112,8 +112,9 @@
     name="trust",
     model="godwit-lm",
     peak_per_s=24.0,
-    # Birthday evenings, a smaller peak at lunch, and odd hours through the night.
-    hours=Hours(
+    # The peak is in the evening (birthdays), with a lower one at lunch and a few
+    # requests all night.
+    hours=DailyProfile(
         (
             *(0.22, 0.16, 0.12, 0.10, 0.10, 0.12, 0.18, 0.28, 0.34, 0.36, 0.38, 0.42),
             *(0.50, 0.48, 0.42, 0.42, 0.50, 0.66, 0.86, 1.00, 0.98, 0.80, 0.54, 0.34),
@@ -146,8 +147,8 @@
     name="coop",
     model="assist-models",
     peak_per_s=5.8,
-    # Office hours with a long evening; the week ends on the day of the deadline.
-    hours=Hours(
+    # Office hours and a long evening; the last day of the week is that of a deadline.
+    hours=DailyProfile(
         (
             *(0.06, 0.04, 0.03, 0.03, 0.04, 0.08, 0.20, 0.45, 0.75, 0.92, 1.00, 0.96),
             *(0.82, 0.90, 0.98, 1.00, 0.94, 0.80, 0.66, 0.52, 0.40, 0.28, 0.18, 0.10),
--- a/src/godwitmast/load/moves.py
+++ b/src/godwitmast/load/moves.py
@@ -1,7 +1,7 @@
-"""Measures what a stream loses when its server is evicted, by how it goes on.
+"""`godwit-load moves`: pause of a stream whose server is evicted, by how it resumes.
 
-Its context is read again by another engine, or its KV cache is moved there. Half of
-an evicted server's streams go to each of two survivors that are half full.
+Either another engine prefills its context again, or its KV cache is moved there. Half
+of the evicted server's streams resume on each of two servers that are half full.
 """
 
 import statistics
@@ -14,22 +14,22 @@
 from godwitmast.standins.engine_model import EngineModel, Sequence
 
 KV_BYTES_PER_TOKEN = 131_072
-"""Of a 7-billion-parameter model with grouped queries: 32 layers, 8 heads of 128
-values, keys and values of 2 bytes."""
+"""For a 7-billion-parameter model with grouped-query attention: 32 layers, 8 heads of
+128 values, keys and values of 2 bytes."""
 
-GIGABITS = (10.0, 25.0, 100.0)
-"""Speeds of the leaving server's link, which all its streams share."""
+LINK_GBIT_S = (10.0, 25.0, 100.0)
+"""Link speeds of the leaving server, shared by all its streams."""
 
-CONTEXTS = (256, 1024, 4096, 16_384)
-RESIDENT = 16
-MOVED = 8
-"""Streams that each survivor has, and that come to it."""
+CONTEXT_TOKENS = (256, 1024, 4096, 16_384)
+RESIDENT_STREAMS = 16
+MOVED_STREAMS = 8
+"""Streams that run on each remaining server, and that are moved to it."""
 
-PLAYED_S = 60.0
+TIME_LIMIT_S = 60.0
 
 
-class Moved(NamedTuple):
-    """Seconds that moved streams stood still, and the residents' token gaps."""
+class MovePauses(NamedTuple):
+    """Pauses of the moved streams and the mean token gap of the resident ones."""
 
     pause_mean_s: float
     pause_worst_s: float
@@ -37,38 +37,38 @@
 
 
 def moves() -> None:
-    """Measure recomputing a stream's context beside moving its KV cache."""
+    """Compare recomputing a stream's context with moving its KV cache."""
     table = Table(title="Pause of a moved stream, mean / worst, s; residents' gap, ms")
     table.add_column("context, tokens")
     table.add_column("recompute")
-    for speed in GIGABITS:
+    for speed in LINK_GBIT_S:
         table.add_column(f"move, {speed:g} Gb/s")
-    for context in CONTEXTS:
+    for context in CONTEXT_TOKENS:
         cells = [show(play_moves(context, None))]
-        cells += [show(play_moves(context, speed)) for speed in GIGABITS]
+        cells += [show(play_moves(context, speed)) for speed in LINK_GBIT_S]
         table.add_row(str(context), *cells)
     Console(width=110).print(table)
 
 
-def show(moved: Moved) -> str:
+def show(pauses: MovePauses) -> str:
     return (
-        f"{moved.pause_mean_s:.2f} / {moved.pause_worst_s:.2f}; "
-        f"{1000 * moved.resident_gap_s:.0f}"
+        f"{pauses.pause_mean_s:.2f} / {pauses.pause_worst_s:.2f}; "
+        f"{1000 * pauses.resident_gap_s:.0f}"
     )
 
 
-def play_moves(context: int, gigabits: float | None) -> Moved:
-    """Play one survivor; a speed of None recomputes."""
+def play_moves(context: int, link_gbit_s: float | None) -> MovePauses:
+    """Simulate one remaining server; without a link speed contexts are recomputed."""
     engine = EngineModel()
-    for number in range(RESIDENT):
+    for number in range(RESIDENT_STREAMS):
         engine.submit(Sequence(f"resident-{number}", 1, 100_000))
     while any(s.unread for s in engine.running.values()) or engine.waiting:
         engine.step()
-    arrivals = deque(plan_arrivals(context, gigabits))
+    arrivals = deque(schedule_arrivals(context, link_gbit_s))
     pauses: dict[str, float] = {}
     gaps: list[float] = []
     now = 0.0
-    while len(pauses) < MOVED and now < PLAYED_S:
+    while len(pauses) < MOVED_STREAMS and now < TIME_LIMIT_S:
         while arrivals and arrivals[0][0] <= now:
             engine.submit(arrivals.popleft()[1])
         step = engine.step()
@@ -77,22 +77,26 @@
         for event in step.events:
             if event.sequence_id.startswith("moved"):
                 pauses.setdefault(event.sequence_id, now)
-    seen = list(pauses.values()) + [PLAYED_S] * (MOVED - len(pauses))
-    return Moved(statistics.fmean(seen), max(seen), statistics.fmean(gaps))
+    all_pauses = list(pauses.values()) + [TIME_LIMIT_S] * (MOVED_STREAMS - len(pauses))
+    return MovePauses(
+        statistics.fmean(all_pauses), max(all_pauses), statistics.fmean(gaps)
+    )
 
 
-def plan_arrivals(context: int, gigabits: float | None) -> list[tuple[float, Sequence]]:
-    """Return when each stream can go on, counted from the notice.
+def schedule_arrivals(
+    context: int, link_gbit_s: float | None
+) -> list[tuple[float, Sequence]]:
+    """Return when each stream can resume, in seconds after the notice.
 
-    The link carries the streams of both survivors in turn, one cache after another.
+    The link transfers one cache after another, alternately to the two servers.
     """
     arrivals = []
-    for number in range(MOVED):
+    for number in range(MOVED_STREAMS):
         sequence = Sequence(f"moved-{number}", context, 100_000, generated=1)
         at = 0.0
-        if gigabits is not None:
-            one_s = context * KV_BYTES_PER_TOKEN * 8 / (gigabits * 1e9)
-            at = 2 * (number + 1) * one_s
+        if link_gbit_s is not None:
+            transfer_s = context * KV_BYTES_PER_TOKEN * 8 / (link_gbit_s * 1e9)
+            at = 2 * (number + 1) * transfer_s
             sequence.imported = context
         arrivals.append((at, sequence))
     return arrivals
--- a/src/godwitmast/load/passthrough.py
+++ b/src/godwitmast/load/passthrough.py
@@ -1,4 +1,7 @@
-"""A bare pass-through from hypercorn to httpx: the floor to measure an entry against."""
+"""`godwit-load passthrough`: a bare proxy from hypercorn to httpx.
+
+Its latency is the lower bound that an entry's overhead is compared with.
+"""
 
 from dataclasses import dataclass, field
 
@@ -14,7 +17,7 @@
 
 @dataclass
 class Passthrough:
-    """Passes each request on to one server, and its answer back, unread."""
+    """Forwards each request to one server and returns its answer, both unparsed."""
 
     target: str
     listen: Listen = Listen()
@@ -64,6 +67,6 @@
     host: str = typer.Option("127.0.0.1"),
     port: int = typer.Option(0, min=0, max=65535),
 ) -> None:
-    """Run a bare pass-through until SIGTERM, to measure an entry against."""
+    """Run a bare pass-through until SIGTERM, to compare an entry with."""
     listen = Listen(host, port)
     run_daemon("godwit-load", LogSettings(), lambda: Passthrough(target, listen))
--- a/src/godwitmast/load/peer_network.py
+++ b/src/godwitmast/load/peer_network.py
@@ -1,7 +1,8 @@
-"""A small fake network that drives peer machines in virtual time.
+"""A fake network that drives peer machines in virtual time.
 
-Frames can be lost, late, doubled and reordered, which a TCP connection never does to
-them: what holds here holds with less trouble there. A loss on TCP is only a delay.
+It can lose, delay, duplicate and reorder frames, which makes the conditions worse than
+those of a TCP connection: TCP does none of this to frames but delay them, also when a
+packet is lost.
 """
 
 import heapq
@@ -34,16 +35,16 @@
 ZONE_DELAY_S = 0.0005
 REGION_DELAY_S = 0.001
 FAR_DELAY_S = 0.035
-"""One way, within a zone, between zones of a region, and between regions."""
+"""One-way delays within a zone, between zones of a region, and between regions."""
 
 
 @dataclass
 class CountedConfig:
-    """A configuration that is only a number, with the deltas that led to it."""
+    """A configuration that is only a number, with its last `max_deltas` deltas."""
 
     version: int = 0
-    kept: int = 50
-    risen: Callable[[int], None] = lambda version: None
+    max_deltas: int = 50
+    on_change: Callable[[int], None] = lambda version: None
     patch_bytes: int = 200
     snapshot_bytes: int = 2000
 
@@ -51,11 +52,11 @@
         if number <= self.version:
             return False
         self.version = number
-        self.risen(number)
+        self.on_change(number)
         return True
 
     def deltas(self, after: int) -> Json | None:
-        if self.version - after > self.kept:
+        if self.version - after > self.max_deltas:
             return None
         return ["x" * self.patch_bytes] * (self.version - after)
 
@@ -69,23 +70,24 @@
         return self.set(number)
 
 
-class Weather(NamedTuple):
-    """What the network does to frames."""
+class NetworkFaults(NamedTuple):
+    """Probabilities that a frame is lost or sent twice, and the jitter of its delay."""
 
     loss: float = 0.0
-    doubled: float = 0.0
+    duplicated: float = 0.0
     jitter_s: float = 0.0005
-    """Added at random to each frame's delay; more than a delay reorders frames."""
+    """Upper bound of a random addition to each frame's delay, which reorders frames if
+    it exceeds the delay."""
 
 
 @dataclass
 class FakeNode:
-    """A machine with its address and what was counted at it."""
+    """A node's machine, its links, and counts of what it sent."""
 
     machine: PeerMachine
     config: CountedConfig
     up: bool = True
-    refuses: bool = False
+    refuses_connections: bool = False
     paused_until: float = 0.0
     bytes_sent: int = 0
     frames_sent: int = 0
@@ -94,7 +96,7 @@
 
 @dataclass
 class FakeLink:
-    """A connection between two addresses, with one end's id at each."""
+    """A connection between two addresses; both ends know it by the same id."""
 
     link_id: int
     ends: tuple[str, str]
@@ -105,10 +107,13 @@
 
 
 class FakeNetwork:
-    """Nodes by address, the events between them, and one virtual clock."""
+    """Nodes by address, a heap of events and a virtual clock."""
 
     def __init__(
-        self, seed: int = 0, weather: Weather = Weather(), codec: bool = False
+        self,
+        seed: int = 0,
+        weather: NetworkFaults = NetworkFaults(),
+        codec: bool = False,
     ) -> None:
         self.random = random.Random(seed)
         self.weather = weather
@@ -118,7 +123,7 @@
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.numbers = itertools.count(1)
         self.cut: Callable[[Place, Place], bool] = lambda source, target: False
-        self.came: Callable[[str, RecordCame], None] = lambda node, output: None
+        self.on_record: Callable[[str, RecordCame], None] = lambda node, output: None
 
     # The nodes.
 
@@ -131,7 +136,7 @@
         timing: Timing = Timing(),
         version: int = 1,
     ) -> FakeNode:
-        """Start a node; an address that is taken gets a new node in its place."""
+        """Start a node; it replaces the node that has its address, if any."""
         place = Place(address or f"{node}:1", zone, region)
         config = CountedConfig(version)
         incarnation = EPOCH_MS + int(self.now * 1000)
@@ -142,17 +147,19 @@
             self.kill(place.address)
         added = FakeNode(machine, config)
         self.nodes[place.address] = added
-        self.at(self.random.random() * TICK_S, lambda: self.tick(place.address, added))
+        self.schedule(
+            self.random.random() * TICK_S, lambda: self.tick(place.address, added)
+        )
         return added
 
-    def introduce(self, addresses: Iterable[str] | None = None) -> None:
-        """Give every node the platform's list."""
+    def set_known_vms(self, addresses: Iterable[str] | None = None) -> None:
+        """Give every node the platform's list of VMs, by default all of them."""
         listed = list(self.nodes if addresses is None else addresses)
         for fake in self.nodes.values():
             fake.machine.set_known_vms([KnownVm(a) for a in listed], self.now)
 
-    def know_all(self) -> None:
-        """Start as a system that has run for a while: all know all."""
+    def fill_member_tables(self) -> None:
+        """Enter every node in every member table, as in a system that has converged."""
         members = [fake.machine.own_member for fake in self.nodes.values()]
         for fake in self.nodes.values():
             for member in members:
@@ -160,15 +167,15 @@
                     fake.machine.table.put(member, self.now)
 
     def kill(self, address: str) -> None:
-        """End a process: its connections break at once, and nobody answers there."""
+        """End a process: its connections break at once, and new ones are refused."""
         fake = self.nodes[address]
         fake.up = False
-        fake.refuses = True
+        fake.refuses_connections = True
         for link in list(fake.links.values()):
-            self.close(link, address)
+            self.close_link(link, address)
 
     def lose(self, address: str) -> None:
-        """End a VM: nothing tells its peers, and nothing answers any more."""
+        """End a VM without a sign to its peers: frames and dials to it are dropped."""
         self.nodes[address].up = False
 
     def pause(self, address: str, seconds: float) -> None:
@@ -179,11 +186,11 @@
 
     # Time.
 
-    def at(self, delay: float, action: Callable[[], None]) -> None:
+    def schedule(self, delay: float, action: Callable[[], None]) -> None:
         heapq.heappush(self.events, (self.now + delay, next(self.numbers), action))
 
     def run(self, seconds: float) -> None:
-        """Let virtual time pass."""
+        """Advance virtual time, and run the events that fall due."""
         end = self.now + seconds
         while self.events and self.events[0][0] <= end:
             self.now, _, action = heapq.heappop(self.events)
@@ -191,7 +198,10 @@
         self.now = end
 
     def run_until(self, done: Callable[[], bool], limit_s: float) -> float:
-        """Let time pass until `done`, and return how long that took."""
+        """Advance time until `done`, and return the seconds that it took.
+
+        Raise AssertionError after `limit_s`.
+        """
         start = self.now
         while not done():
             if self.now - start >= limit_s:
@@ -204,24 +214,24 @@
             return
         if fake.paused_until <= self.now:
             fake.machine.tick(self.now)
-            self.carry_out(address, fake)
-        self.at(TICK_S, lambda: self.tick(address, fake))
+            self.execute_outputs(address, fake)
+        self.schedule(TICK_S, lambda: self.tick(address, fake))
 
     # The network.
 
-    def act(self, address: str, action: Callable[[PeerMachine], None]) -> None:
-        """Do something at a node, and then what it asks for."""
+    def call_machine(self, address: str, action: Callable[[PeerMachine], None]) -> None:
+        """Call a node's machine and execute its outputs, after its pause if any."""
         fake = self.nodes[address]
         if not fake.up:
             return
         if fake.paused_until > self.now:
             wait = fake.paused_until - self.now
-            self.at(wait + 0.001, lambda: self.act(address, action))
+            self.schedule(wait + 0.001, lambda: self.call_machine(address, action))
             return
         action(fake.machine)
-        self.carry_out(address, fake)
+        self.execute_outputs(address, fake)
 
-    def carry_out(self, address: str, fake: FakeNode) -> None:
+    def execute_outputs(self, address: str, fake: FakeNode) -> None:
         for output in fake.machine.pop_outputs():
             match output:
                 case Send(link_id, frame):
@@ -231,11 +241,11 @@
                 case HangUp(link_id):
                     link = fake.links.get(link_id)
                     if link is not None:
-                        self.close(link, address)
+                        self.close_link(link, address)
                 case RecordCame():
-                    self.came(fake.machine.node, output)
+                    self.on_record(fake.machine.node, output)
 
-    def reaches(self, source: str, target: str) -> bool:
+    def can_reach(self, source: str, target: str) -> bool:
         if target not in self.nodes or not self.nodes[target].up:
             return False
         places = [self.nodes[a].machine.place for a in (source, target)]
@@ -244,54 +254,62 @@
     def dial(self, source: str, target: str) -> None:
         known = target in self.nodes
         cut = known and not (
-            self.reaches(source, target) and self.reaches(target, source)
+            self.can_reach(source, target) and self.can_reach(target, source)
         )
         if not known or cut:
-            silent = known and not self.nodes[target].refuses
+            silent = known and not self.nodes[target].refuses_connections
             wait = 2.0 if silent else 0.001
-            self.at(
+            self.schedule(
                 wait,
-                lambda: self.act(source, lambda m: m.dial_failed(target, self.now)),
+                lambda: self.call_machine(
+                    source, lambda m: m.dial_failed(target, self.now)
+                ),
             )
             return
-        self.at(2 * self.delay(source, target), lambda: self.open(source, target))
+        self.schedule(
+            2 * self.delay_s(source, target), lambda: self.open_link(source, target)
+        )
 
-    def open(self, source: str, target: str) -> None:
+    def open_link(self, source: str, target: str) -> None:
         if not (self.nodes[source].up and self.nodes[target].up):
-            self.act(source, lambda m: m.dial_failed(target, self.now))
+            self.call_machine(source, lambda m: m.dial_failed(target, self.now))
             return
         link = FakeLink(next(self.numbers), (source, target))
         for end in link.ends:
             self.nodes[end].links[link.link_id] = link
-        self.act(target, lambda m: m.link_opened(link.link_id, None, self.now))
-        self.act(source, lambda m: m.link_opened(link.link_id, target, self.now))
+        self.call_machine(target, lambda m: m.link_opened(link.link_id, None, self.now))
+        self.call_machine(
+            source, lambda m: m.link_opened(link.link_id, target, self.now)
+        )
 
-    def close(self, link: FakeLink, by: str) -> None:
-        """Close a link; the other end hears of it, if the network lets it."""
+    def close_link(self, link: FakeLink, by: str) -> None:
+        """Close a link; the other end is notified unless a partition prevents it."""
         self.nodes[by].links.pop(link.link_id, None)
         if not link.open:
             return
         link.open = False
         other = link.other(by)
 
-        def hear() -> None:
+        def notify_other_end() -> None:
             fake = self.nodes[other]
             if fake.links.pop(link.link_id, None) is not None:
-                self.act(other, lambda m: m.link_closed(link.link_id, self.now))
+                self.call_machine(
+                    other, lambda m: m.link_closed(link.link_id, self.now)
+                )
 
         places = [self.nodes[a].machine.place for a in (by, other)]
         if not self.cut(places[0], places[1]):
-            self.at(self.delay(by, other) + 0.005, hear)
+            self.schedule(self.delay_s(by, other) + 0.005, notify_other_end)
 
-    def delay(self, source: str, target: str) -> float:
+    def delay_s(self, source: str, target: str) -> float:
         one, other = (self.nodes[a].machine.place for a in (source, target))
-        base = FAR_DELAY_S
+        base_s = FAR_DELAY_S
         if one.region == other.region:
-            base = ZONE_DELAY_S if one.zone == other.zone else REGION_DELAY_S
-        return base + self.random.random() * self.weather.jitter_s
+            base_s = ZONE_DELAY_S if one.zone == other.zone else REGION_DELAY_S
+        return base_s + self.random.random() * self.weather.jitter_s
 
     def transmit(self, source: str, fake: FakeNode, link_id: int, frame: Frame) -> None:
-        """Send a frame, with whatever becomes of it on the way."""
+        """Send a frame, which the network may lose, duplicate or delay."""
         if self.codec:
             data = encode_frame(frame)
             fake.bytes_sent += len(data) + FRAME_OVERHEAD
@@ -300,15 +318,20 @@
         if link is None:
             return
         target = link.other(source)
-        self.at(0.0002, lambda: self.act(source, lambda m: m.sent(link_id, self.now)))
-        copies = 1 + (self.random.random() < self.weather.doubled)
+        self.schedule(
+            0.0002,
+            lambda: self.call_machine(source, lambda m: m.sent(link_id, self.now)),
+        )
+        copies = 1 + (self.random.random() < self.weather.duplicated)
         for _ in range(copies):
             if self.random.random() >= self.weather.loss:
-                came = decode_frame(data) if self.codec else frame
-                wait = self.delay(source, target)
-                self.at(wait, partial(self.deliver, link, target, came))
+                received = decode_frame(data) if self.codec else frame
+                wait = self.delay_s(source, target)
+                self.schedule(wait, partial(self.deliver, link, target, received))
 
     def deliver(self, link: FakeLink, target: str, frame: Frame) -> None:
         fake = self.nodes[target]
-        if link.link_id in fake.links and self.reaches(link.other(target), target):
-            self.act(target, lambda m: m.received(link.link_id, frame, self.now))
+        if link.link_id in fake.links and self.can_reach(link.other(target), target):
+            self.call_machine(
+                target, lambda m: m.received(link.link_id, frame, self.now)
+            )
--- a/src/godwitmast/load/peers.py
+++ b/src/godwitmast/load/peers.py
@@ -1,4 +1,4 @@
-"""Measures the peer overlay in virtual time, beside a full mesh, at growing sizes."""
+"""`godwit-load peers`: cost and propagation times of the peer overlay, by size."""
 
 import time
 from collections.abc import Callable
@@ -14,7 +14,12 @@
     SERVICE_INTERVAL_S,
     SERVICE_PER_NODE_S,
 )
-from godwitmast.load.peer_network import FRAME_OVERHEAD, FakeNetwork, FakeNode, Weather
+from godwitmast.load.peer_network import (
+    FRAME_OVERHEAD,
+    FakeNetwork,
+    FakeNode,
+    NetworkFaults,
+)
 from godwitmast.peers.codec import encode_frame
 from godwitmast.peers.messages import Beat, Frame, LoadEntry, Topic
 from godwitmast.peers.rendezvous import choose_pollers, short_hash
@@ -27,16 +32,16 @@
     "nodes", "loss", "links", "B/s", "most B/s", "mesh B/s", "frames/s", "core %",
     "state KB", "50%", "99%", "100%", "dead", "suspected", "dropped", "heal",
 )  # fmt: skip
-SAMPLES = 5
-LIMIT_S = 60.0
+PROPAGATION_SAMPLES = 5
+TIMEOUT_S = 60.0
 REPLICAS_PER_NODE = 850 / 350
 
 
 class Cost(NamedTuple):
-    """What a node spends in the steady state, as means over all nodes.
+    """Cost of a node in the steady state, as means over all nodes.
 
-    Bytes are those sent, with 80 a frame for websockets, TLS and TCP/IP; a node
-    receives as many. Processor time includes the fake network's own.
+    Bytes are those sent, with 80 bytes a frame for websockets, TLS and TCP/IP; a node
+    receives as many. Processor time includes that of the fake network.
     """
 
     links: float
@@ -49,44 +54,44 @@
     wrong_deaths: int
 
 
-class Spread(NamedTuple):
-    """Seconds until that share of the nodes had a new configuration."""
+class PropagationDelay(NamedTuple):
+    """Seconds until 50, 99 and 100 % of the nodes had a new configuration."""
 
     half: float
     most: float
     all: float
 
 
-def build(count: int, loss: float, seed: int) -> FakeNetwork:
-    """Return a settled system that tells load and service as entries do."""
+def make_network(count: int, loss: float, seed: int) -> FakeNetwork:
+    """Return a converged network whose nodes publish load and service as entries do."""
     zones = 7 if count >= 50 else 3
-    network = FakeNetwork(seed, Weather(loss=loss), codec=True)
+    network = FakeNetwork(seed, NetworkFaults(loss=loss), codec=True)
     for number in range(count):
         zone = number % zones
         network.add(f"node-{number}", f"zone-{zone}", "r1" if zone < 4 else "r2")
-    network.introduce()
-    network.know_all()
+    network.set_known_vms()
+    network.fill_member_tables()
     for fake in network.live():
-        start_telling(network, fake)
+        start_publishing(network, fake)
     network.run(SETTLE_S)
     return network
 
 
-def start_telling(network: FakeNetwork, fake: FakeNode) -> None:
-    """Have a node tell its zone of load and service, as often as an entry does."""
+def start_publishing(network: FakeNetwork, fake: FakeNode) -> None:
+    """Make a node publish load and service records at the intervals of an entry."""
     machine = fake.machine
     address = machine.place.address
     nodes = machine.zone_nodes()
-    replicas = [f"{machine.place.zone}-{n}" for n in range(replicas_of(len(nodes)))]
+    replicas = [f"{machine.place.zone}-{n}" for n in range(replica_count(len(nodes)))]
     mine = [r for r in replicas if choose_pollers(r, nodes)[0] == machine.node]
 
-    def tell(topic: Topic, period: float, value: Callable[[], object]) -> None:
+    def publish(topic: Topic, period: float, value: Callable[[], object]) -> None:
         left_s = RECORD_TTL_PERIODS * period
-        network.act(
+        network.call_machine(
             address,
             lambda m: m.publish_record(topic, m.node, value(), left_s, network.now),
         )
-        network.at(period, lambda: tell(topic, period, value))
+        network.schedule(period, lambda: publish(topic, period, value))
 
     def load() -> tuple[LoadEntry, ...]:
         pick = network.random.randrange
@@ -107,27 +112,27 @@
     service_period = max(SERVICE_INTERVAL_S, SERVICE_PER_NODE_S * len(nodes))
     if mine:
         wait = network.random.random() * load_period
-        network.at(wait, lambda: tell(Topic.LOAD, load_period, load))
+        network.schedule(wait, lambda: publish(Topic.LOAD, load_period, load))
     wait = network.random.random() * service_period
-    network.at(wait, lambda: tell(Topic.SERVICE, service_period, service))
+    network.schedule(wait, lambda: publish(Topic.SERVICE, service_period, service))
 
 
-def replicas_of(nodes: int) -> int:
+def replica_count(nodes: int) -> int:
     return round(nodes * REPLICAS_PER_NODE)
 
 
 def measure_cost(network: FakeNetwork) -> Cost:
-    """Run the steady state for a while, with nothing happening to the nodes."""
+    """Run the network for STEADY_S without faults of nodes, and return its cost."""
     live = network.live()
     bytes_before = {id(fake): fake.bytes_sent for fake in live}
     frames_before = sum(fake.frames_sent for fake in live)
-    wrong_before = raised(live)
+    wrong_before = suspicions_and_deaths(live)
     start = time.process_time()
     network.run(STEADY_S)
     seconds = time.process_time() - start
     sent = [(f.bytes_sent - bytes_before[id(f)]) / STEADY_S for f in live]
     frames = sum(fake.frames_sent for fake in live) - frames_before
-    wrong = raised(live)
+    wrong = suspicions_and_deaths(live)
     count = len(live)
     return Cost(
         sum(len(fake.machine.by_node) for fake in live) / count,
@@ -141,7 +146,7 @@
     )
 
 
-def raised(live: list[FakeNode]) -> tuple[int, int]:
+def suspicions_and_deaths(live: list[FakeNode]) -> tuple[int, int]:
     counts = [fake.machine.counts for fake in live]
     return sum(c.suspicions for c in counts), sum(c.deaths for c in counts)
 
@@ -157,17 +162,19 @@
     return len(encode_frame(Frame(Beat(0, 0, 0), held)))
 
 
-def measure_spread(network: FakeNetwork, number: int) -> Spread:
-    """Put a new configuration in force at one node, and see when others have it."""
+def measure_propagation(network: FakeNetwork, number: int) -> PropagationDelay:
+    """Put a configuration in force at one node; return when the others have it."""
     source = network.random.choice(network.live())
     start = network.now
     source.config.set(number)
-    network.act(source.machine.place.address, lambda m: m.config_changed(network.now))
+    network.call_machine(
+        source.machine.place.address, lambda m: m.config_changed(network.now)
+    )
     seconds = []
     for share in (0.5, 0.99, 1.0):
-        network.run_until(lambda s=share: has_config(network, number, s), LIMIT_S)  # type: ignore[misc]
+        network.run_until(lambda s=share: has_config(network, number, s), TIMEOUT_S)  # type: ignore[misc]
         seconds.append(network.now - start)
-    return Spread(*seconds)
+    return PropagationDelay(*seconds)
 
 
 def has_config(network: FakeNetwork, number: int, share: float) -> bool:
@@ -176,7 +183,7 @@
 
 
 def measure_detection(network: FakeNetwork) -> float:
-    """Lose a VM in silence; return seconds until it is off every list."""
+    """Lose a VM without resets; return the seconds until no node lists it."""
     lost = network.random.choice(network.live()).machine
     network.lose(lost.place.address)
     return network.run_until(
@@ -185,12 +192,16 @@
                 fake.machine.table.members[lost.node].listed for fake in network.live()
             )
         ),
-        LIMIT_S,
+        TIMEOUT_S,
     )
 
 
 def measure_heal(network: FakeNetwork, number: int) -> float:
-    """Cut a zone off for a minute, and return seconds until all is one again."""
+    """Partition a zone for a minute; return the seconds until all nodes agree again.
+
+    They agree when all have the configuration that was accepted meanwhile, and list
+    all live nodes.
+    """
     network.cut = lambda source, target: (
         (source.zone == "zone-0") != (target.zone == "zone-0")
     )
@@ -198,7 +209,7 @@
     outside = next(f for f in network.live() if f.machine.place.zone != "zone-0")
     outside.config.set(number)
     address = outside.machine.place.address
-    network.act(address, lambda m: m.config_changed(network.now))
+    network.call_machine(address, lambda m: m.config_changed(network.now))
     network.run(55)
     network.cut = lambda source, target: False
     count = len(network.live())
@@ -207,20 +218,23 @@
             has_config(network, number, 1.0)
             and all(len(fake.machine.listed()) == count for fake in network.live())
         ),
-        LIMIT_S,
+        TIMEOUT_S,
     )
 
 
 def mesh_bytes(count: int) -> float:
-    """Return bytes a second of a full mesh with one heartbeat a second a pair."""
+    """Return the bytes a second that a node of a full mesh sends in heartbeats.
+
+    Each pair of nodes exchanges one a second.
+    """
     beat = len(encode_frame(Frame(Beat(1300, 2**31, 2**31)))) + FRAME_OVERHEAD
     return beat * (count - 1)
 
 
 Sizes = Annotated[list[int], typer.Option("--nodes", help="Sizes, each in turn.")]
 Losses = Annotated[list[float], typer.Option("--loss", help="Shares of frames lost.")]
-Seed = Annotated[int, typer.Option(help="Of the fake network.")]
-Heal = Annotated[bool, typer.Option(help="Also cut a zone off and heal it.")]
+Seed = Annotated[int, typer.Option(help="Seed of the fake network.")]
+Heal = Annotated[bool, typer.Option(help="Also partition a zone and heal it.")]
 
 
 def peers(
@@ -239,12 +253,12 @@
 
 
 def measure_row(count: int, loss: float, seed: int, heal: bool) -> list[str]:
-    network = build(count, loss, seed)
+    network = make_network(count, loss, seed)
     cost = measure_cost(network)
-    spreads = [measure_spread(network, n + 2) for n in range(SAMPLES)]
-    worst = [max(column) for column in zip(*spreads, strict=True)]
+    delays = [measure_propagation(network, n + 2) for n in range(PROPAGATION_SAMPLES)]
+    worst = [max(column) for column in zip(*delays, strict=True)]
     dead = measure_detection(network)
-    healed = f"{measure_heal(network, SAMPLES + 2):.2f}" if heal else "-"
+    healed = f"{measure_heal(network, PROPAGATION_SAMPLES + 2):.2f}" if heal else "-"
     return [
         str(count),
         f"{loss:.0%}",
--- a/src/godwitmast/load/play.py
+++ b/src/godwitmast/load/play.py
@@ -1,4 +1,4 @@
-"""`godwit-load play`: scenarios in virtual time, policy beside baselines."""
+"""`godwit-load play`: scenarios in virtual time, under the policy and baselines."""
 
 import statistics
 from concurrent.futures import ProcessPoolExecutor
@@ -11,12 +11,12 @@
 
 from godwitmast.daemons import EXIT_FAILED, EXIT_USAGE
 from godwitmast.load.scenario import Scenario
+from godwitmast.load.simulation import POLICIES, Simulation
 from godwitmast.load.steps import ScenarioInvalid, read_scenarios
-from godwitmast.load.world import POLICIES, World
 
 
 class PlayResult(NamedTuple):
-    """The measures of one play."""
+    """Measures and failed checks of one simulation of a scenario."""
 
     scenario: str
     policy: str
@@ -26,8 +26,8 @@
 
 
 def play_once(scenario: Scenario, policy: str, seed: int) -> PlayResult:
-    """Play a scenario once and return its measures."""
-    score = World(scenario, policy, seed).play()
+    """Simulate a scenario once and return its measures."""
+    score = Simulation(scenario, policy, seed).play()
     values = {name: score.attainment(name) for name in scenario.classes}
     values |= {
         "goodput t/s": score.goodput,
@@ -51,9 +51,9 @@
     ] = None,
     seed: Annotated[int, typer.Option(help="The first seed.")] = 1,
     seeds: Annotated[int, typer.Option(min=1, help="How many seeds.")] = 1,
-    processes: Annotated[int, typer.Option(min=1, help="Plays at once.")] = 3,
+    processes: Annotated[int, typer.Option(min=1, help="Simulations at once.")] = 3,
 ) -> None:
-    """Play scenarios in virtual time and print the median (and the spread).
+    """Simulate scenarios in virtual time and print the median (and the range).
 
     Exit 0 if the checks of each scenario hold for the policy `godwit`, else 1.
     """
@@ -68,7 +68,7 @@
         raise typer.Exit(EXIT_USAGE) from None
     console = Console()
     failed = False
-    # The load tool is not one of the daemons, so its workers may be processes.
+    # Processes as workers are allowed here, since the load tool is no daemon.
     with ProcessPoolExecutor(processes) as pool:
         for scenario in scenarios:
             results = run_all(pool, scenario, policy or list(POLICIES), seed, seeds)
@@ -89,7 +89,7 @@
     seed: int,
     seeds: int,
 ) -> list[PlayResult]:
-    """Play a scenario under each policy with each seed."""
+    """Simulate a scenario under each policy with each seed."""
     futures = [
         pool.submit(play_once, scenario, policy, number)
         for policy in policies
@@ -99,22 +99,24 @@
 
 
 def result_table(scenario: Scenario, results: list[PlayResult]) -> Table:
-    """Return the medians, with lowest and highest where seeds differ."""
+    """Return a table of medians, with the range where seeds differ."""
     policies = list(dict.fromkeys(result.policy for result in results))
     table = Table(title=scenario.name)
     for heading in ("measure", *policies):
         table.add_column(heading)
     for name in dict.fromkeys(name for r in results for name in r.values):
         cells = [
-            show([r.values.get(name, 0.0) for r in results if r.policy == policy])
+            format_values(
+                [r.values.get(name, 0.0) for r in results if r.policy == policy]
+            )
             for policy in policies
         ]
         table.add_row(name, *cells)
     return table
 
 
-def show(values: list[float]) -> str:
-    middle = statistics.median(values)
+def format_values(values: list[float]) -> str:
+    median = statistics.median(values)
     if min(values) == max(values):
-        return f"{middle:.4g}"
-    return f"{middle:.4g} ({min(values):.3g}-{max(values):.3g})"
+        return f"{median:.4g}"
+    return f"{median:.4g} ({min(values):.3g}-{max(values):.3g})"
--- a/src/godwitmast/load/result.py
+++ b/src/godwitmast/load/result.py
@@ -1,4 +1,4 @@
-"""What a run over HTTP came to: histograms and outcomes, in a file, side by side."""
+"""Results of a run over HTTP: outcomes and histograms, result files and tables."""
 
 import json
 from dataclasses import dataclass, field
@@ -18,21 +18,21 @@
 MET = "met"
 LATE = "late"
 NOT_SENT = "not_sent"
-"""The tool had as many requests open as it may, so it could not keep its schedule."""
+"""The maximum of open requests was reached, so the tool did not keep its schedule."""
 
 
-def new_histogram() -> Any:
+def make_histogram() -> Any:
     return HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
 
 
 @dataclass
 class ClassResult:
-    """A class's outcomes, and its latencies in microseconds from intended sending."""
+    """A class's outcomes, and latencies in microseconds from the scheduled sending."""
 
     outcomes: dict[str, int] = field(default_factory=dict)
-    first_token: Any = field(default_factory=new_histogram)
-    whole: Any = field(default_factory=new_histogram)
-    between: Any = field(default_factory=new_histogram)
+    first_token: Any = field(default_factory=make_histogram)
+    whole: Any = field(default_factory=make_histogram)
+    between: Any = field(default_factory=make_histogram)
     tokens: int = 0
 
     def count(self, outcome: str) -> None:
@@ -49,28 +49,28 @@
 
 @dataclass
 class RunResult:
-    """A whole run."""
+    """Result of a run."""
 
     plan: RunPlan
     url: str
     classes: dict[str, ClassResult] = field(default_factory=dict)
     teams: dict[str, list[int]] = field(default_factory=dict)
-    """Requests met and all, by team."""
+    """Number of requests that met their targets, and of all, by team."""
     took_s: float = 0.0
     sent_late_s: float = 0.0
-    """The furthest that the tool itself fell behind its schedule."""
+    """Longest time by which the tool sent a request later than scheduled."""
 
-    def of(self, class_name: str) -> ClassResult:
+    def class_result(self, class_name: str) -> ClassResult:
         return self.classes.setdefault(class_name, ClassResult())
 
-    def note_team(self, team: str, met: bool) -> None:
-        pair = self.teams.setdefault(team, [0, 0])
-        pair[0] += met
-        pair[1] += 1
+    def record_team(self, team: str, met: bool) -> None:
+        counts = self.teams.setdefault(team, [0, 0])
+        counts[0] += met
+        counts[1] += 1
 
     @property
     def worst_team(self) -> tuple[str, float] | None:
-        """Return the team with the lowest attainment, and that."""
+        """Return the team with the lowest attainment, and its attainment."""
         shares = {team: met / total for team, (met, total) in self.teams.items()}
         return min(shares.items(), key=lambda item: (item[1], item[0]), default=None)
 
@@ -97,7 +97,7 @@
 
 
 def load_result(path: Path) -> RunResult:
-    """Return a saved run; ValueError or KeyError if it is none."""
+    """Return a saved result; ValueError or KeyError if the file holds none."""
     raw = json.loads(path.read_text())
     classes = {
         name: ClassResult(
@@ -120,7 +120,7 @@
 
 
 def result_table(result: RunResult) -> Table:
-    """Return one run, by class."""
+    """Return a table of one run, by class."""
     table = Table(title=f"{result.plan.mix} against {result.url}")
     for heading in ("class", "sent", "met", "first token p50/p95/p99, ms"):
         table.add_column(heading)
@@ -153,12 +153,12 @@
 
 
 def compare_table(a: RunResult, b: RunResult) -> Table:
-    """Return two runs side by side; the last column is B against A."""
+    """Return a table of two runs; its last column compares B with A."""
     table = Table(title=f"A {a.url}, B {b.url}")
     for heading in ("class", "what", "A", "B", "B against A"):
         table.add_column(heading)
     for name in sorted(a.classes.keys() | b.classes.keys()):
-        first, second = a.of(name), b.of(name)
+        first, second = a.class_result(name), b.class_result(name)
         points = 100 * (second.attainment - first.attainment)
         table.add_row(
             name,
@@ -189,6 +189,6 @@
 
 
 def plans_differ(a: RunResult, b: RunResult) -> list[str]:
-    """Return what keeps two runs from being compared like with like."""
+    """Return the parameters in which the plans of two runs differ."""
     pairs = zip(a.plan._fields, a.plan, b.plan, strict=True)
     return [f"{name}: {x} and {y}" for name, x, y in pairs if x != y]
--- a/src/godwitmast/load/run.py
+++ b/src/godwitmast/load/run.py
@@ -12,7 +12,7 @@
 
 from godwitmast.daemons import EXIT_USAGE
 from godwitmast.errors import SettingsError
-from godwitmast.load.http_load import KEY_PREFIX, MOST_OPEN, HttpLoad
+from godwitmast.load.http_load import KEY_PREFIX, MAX_OPEN, HttpLoad
 from godwitmast.load.mixes import MIXES
 from godwitmast.load.result import (
     RunResult,
@@ -27,29 +27,33 @@
 
 
 def run(
-    url: Annotated[str, typer.Option(help="An entry.")],
+    url: Annotated[str, typer.Option(help="URL of an entry.")],
     mix: Annotated[str, typer.Option(help="trust or coop.")] = "trust",
     rate: Annotated[float, typer.Option(help="Requests a second.")] = 5.0,
-    seconds: Annotated[float, typer.Option(help="At most 3600.")] = 30.0,
+    seconds: Annotated[float, typer.Option(help="Duration, at most 3600.")] = 30.0,
     seed: int = 1,
-    burst: Annotated[float, typer.Option(help="Times the rate, middle third.")] = 1.0,
+    burst: Annotated[
+        float, typer.Option(help="Factor of the rate in the middle third.")
+    ] = 1.0,
     hog: Annotated[str | None, typer.Option(help="A team that sends more.")] = None,
     hog_factor: float = 10.0,
     resend: Annotated[float, typer.Option(help="Share of callers that resend.")] = 0.0,
     answer_tokens: Annotated[
-        int | None, typer.Option(help="Every answer's length.")
+        int | None, typer.Option(help="Length of every answer.")
     ] = None,
     cpu_of: Annotated[
-        int | None, typer.Option(help="Process whose processor time is shown.")
+        int | None, typer.Option(help="Id of a process whose use is shown.")
     ] = None,
-    key_prefix: Annotated[str, typer.Option(help="Before the team.")] = KEY_PREFIX,
-    most_open: Annotated[int, typer.Option(min=1, max=10_000)] = MOST_OPEN,
+    key_prefix: Annotated[
+        str, typer.Option(help="Prefix of keys, before the team.")
+    ] = KEY_PREFIX,
+    most_open: Annotated[int, typer.Option(min=1, max=10_000)] = MAX_OPEN,
     out: Annotated[Path | None, typer.Option(help="Result file.")] = None,
     against: Annotated[
-        str | None, typer.Option(help="A bare pass-through, run after it.")
+        str | None, typer.Option(help="URL of a bare pass-through, run next.")
     ] = None,
 ) -> None:
-    """Send an open-loop load over HTTP, and count latency from intended sending."""
+    """Send an open-loop load over HTTP; latencies count from the scheduled sending."""
     plan = check_plan(
         {
             "mix": mix,
@@ -65,20 +69,20 @@
     )
     console = Console()
     before = read_process(cpu_of) if cpu_of else None
-    result = run_shown(plan, url, key_prefix, most_open, console)
+    result = run_with_progress(plan, url, key_prefix, most_open, console)
     if cpu_of and before:
         show_process(before, read_process(cpu_of), result, console)
     if out:
         save_result(result, out)
     if against:
-        bare = run_shown(plan, against, key_prefix, most_open, console)
+        bare_result = run_with_progress(plan, against, key_prefix, most_open, console)
         if out:
-            save_result(bare, out.with_suffix(".against" + out.suffix))
-        console.print(compare_table(bare, result))
+            save_result(bare_result, out.with_suffix(".against" + out.suffix))
+        console.print(compare_table(bare_result, result))
 
 
 class ProcessUse(NamedTuple):
-    """What Linux says that a process has used."""
+    """Processor time and memory of a process, from Linux's /proc."""
 
     cpu_s: float
     resident_mib: float
@@ -86,11 +90,11 @@
 
 
 def read_process(pid: int) -> ProcessUse:
-    """Return a process's processor time and memory, from /proc."""
-    place = Path(f"/proc/{pid}")
+    """Return what a process has used; exit with EXIT_USAGE if it cannot be read."""
+    proc_dir = Path(f"/proc/{pid}")
     try:
-        fields = (place / "stat").read_text().rpartition(")")[2].split()
-        status = (place / "status").read_text()
+        fields = (proc_dir / "stat").read_text().rpartition(")")[2].split()
+        status = (proc_dir / "status").read_text()
     except OSError as error:
         typer.echo(f"error: --cpu-of {pid}: {error.strerror}", err=True)
         raise typer.Exit(EXIT_USAGE) from None
@@ -103,7 +107,7 @@
 def show_process(
     before: ProcessUse, after: ProcessUse, result: RunResult, console: Console
 ) -> None:
-    """Print what the watched process used in the run, by request and by token."""
+    """Print the watched process's use of processor time and memory during the run."""
     used = 1000 * (after.cpu_s - before.cpu_s)
     requests = sum(item.total for item in result.classes.values())
     tokens = sum(item.tokens for item in result.classes.values())
@@ -116,7 +120,7 @@
 
 
 def check_plan(raw: dict[str, object]) -> RunPlan:
-    """Return the plan, or end the program naming what is wrong with it."""
+    """Return the plan; print the error and exit with EXIT_USAGE if it is not valid."""
     if raw["mix"] not in MIXES:
         typer.echo(f"error: --mix {raw['mix']}: one of {', '.join(MIXES)}", err=True)
         raise typer.Exit(EXIT_USAGE)
@@ -127,10 +131,10 @@
         raise typer.Exit(EXIT_USAGE) from None
 
 
-def run_shown(
+def run_with_progress(
     plan: RunPlan, url: str, key_prefix: str, most_open: int, console: Console
 ) -> RunResult:
-    """Run with progress on a terminal, and print what came of it."""
+    """Run with progress on a terminal, and print the result."""
     columns = (SpinnerColumn(), TextColumn("{task.description}"), TimeElapsedColumn())
     with Progress(*columns, console=console, transient=True) as progress:
         task = progress.add_task(f"sending to {url}")
--- a/src/godwitmast/load/scenario.py
+++ b/src/godwitmast/load/scenario.py
@@ -1,4 +1,4 @@
-"""What a scenario says: servers, classes, teams, load, faults and checks."""
+"""Data model of a scenario: engines, classes, teams, load, faults and checks."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -10,12 +10,12 @@
 MODEL_ENGINE = EngineSpeed(
     step_s=0.02, sequence_s=0.0006, prompt_tokens_per_s=8_000.0, max_batch=8
 )
-"""A small engine: 8 sequences at about 25 ms between tokens. Small batches keep a
-play quick; what waits, and for how long, depends on load over capacity alone."""
+"""A small engine: 8 sequences at about 25 ms between tokens. Small batches make a
+simulation fast; queues and waits depend only on the ratio of load to capacity."""
 
 
 class EngineSpec(NamedTuple):
-    """One engine of the scenario."""
+    """An engine of the scenario."""
 
     name: str
     zone: str
@@ -25,8 +25,8 @@
 class Source(NamedTuple):
     """A stream of requests of one class from one team.
 
-    `share` is the source's part of the whole load; its rate follows from the load
-    over capacity that the scenario asks for.
+    `share` is its share of the total load; its rate follows from the scenario's ratio
+    of load to capacity.
     """
 
     team: str
@@ -39,7 +39,7 @@
 
 
 class Resend(NamedTuple):
-    """How callers come back after a refusal."""
+    """How callers resend refused requests."""
 
     tries: int = 0
     heed_retry_after: bool = True
@@ -47,7 +47,7 @@
 
 
 class Phase(NamedTuple):
-    """From `begin_s` to `end_s`, the sources of `class_name` send `factor` times more.
+    """From `begin_s` to `end_s`, the rate of `class_name` is multiplied by `factor`.
 
     An empty class name means every class.
     """
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Straggle:
-    """An engine runs at `speed` of its own, and its load report gets old."""
+    """An engine runs at `speed` times its normal speed, with late load reports."""
 
     at_s: float
     engine: str
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """An engine loses its work and is gone for a while."""
+    """An engine loses its work and restarts after `down_s`."""
 
     at_s: float
     engine: str
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Evict:
-    """The cheap engines of a zone get notice, and are gone after it."""
+    """The cheap engines of a zone are evicted after `notice_s`."""
 
     at_s: float
     zone: str
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Poison:
-    """A team sends a request that crashes its engine, and sends it again and again."""
+    """A team sends a request that crashes its engine `times` times."""
 
     at_s: float
     team: str
@@ -109,7 +109,7 @@
 
 
 class Check(NamedTuple):
-    """A measure of the result with its bound; `name` narrows the measure."""
+    """A bound on a measure of the score; `name` is the class, team or code measured."""
 
     text: str
     measure: str
@@ -119,7 +119,7 @@
 
 
 class Scenario(NamedTuple):
-    """A whole scenario."""
+    """A scenario, with the checks of its score."""
 
     name: str
     engines: tuple[EngineSpec, ...]
@@ -142,7 +142,7 @@
 
 
 def request_cost_s(source: Source, speed: EngineSpeed) -> float:
-    """Return the time that a request takes of an engine whose batch is full."""
+    """Return the engine time that a request takes when the batch is full."""
     token_s = speed.step_s / speed.max_batch + speed.sequence_s
     return (
         source.prompt_tokens / speed.prompt_tokens_per_s
@@ -151,10 +151,10 @@
 
 
 def requests_per_s(scenario: Scenario) -> float:
-    """Return the rate of all sources together that makes `load` times capacity."""
-    whole = sum(source.share for source in scenario.sources)
+    """Return the total rate of all sources at `load` times the engines' capacity."""
+    total_share = sum(source.share for source in scenario.sources)
     cost = sum(
-        source.share / whole * request_cost_s(source, scenario.speed)
+        source.share / total_share * request_cost_s(source, scenario.speed)
         for source in scenario.sources
     )
     return scenario.load * len(scenario.engines) / cost
--- a/src/godwitmast/load/schedule.py
+++ b/src/godwitmast/load/schedule.py
@@ -1,4 +1,4 @@
-"""When each request of a run is to be sent, and what it asks: drawn before the run."""
+"""Schedule of a run, drawn before it starts: time and content of each request."""
 
 import random
 from typing import Annotated, NamedTuple
@@ -7,12 +7,12 @@
 
 from godwitmast.load.mixes import ClassMix, Mix
 
-MOST_REQUESTS = 200_000
-MOST_SECONDS = 3_600.0
+MAX_REQUESTS = 200_000
+MAX_SECONDS = 3_600.0
 
 
 class RunPlan(NamedTuple):
-    """What a run sends.
+    """Parameters of a run.
 
     `rate` is requests a second. For the middle third of the run the rate is
     `burst` times that, and `hog`, if named, sends `hog_factor` times its share.
@@ -20,18 +20,18 @@
 
     mix: str
     rate: Annotated[float, Field(gt=0)]
-    seconds: Annotated[float, Field(gt=0, le=MOST_SECONDS)]
+    seconds: Annotated[float, Field(gt=0, le=MAX_SECONDS)]
     seed: int = 1
     burst: Annotated[float, Field(ge=1)] = 1.0
     hog: str | None = None
     hog_factor: Annotated[float, Field(ge=1)] = 10.0
     resend: Annotated[float, Field(ge=0, le=1)] = 0.0
     answer_tokens: Annotated[int, Field(gt=0)] | None = None
-    """Every answer's length, in place of the mix's."""
+    """Length of every answer, which replaces the mix's lengths."""
 
 
 class Planned(NamedTuple):
-    """One request; `at` is seconds after the run's start."""
+    """A scheduled request; `at` is in seconds after the start of the run."""
 
     number: int
     at: float
@@ -49,35 +49,38 @@
     if plan.hog:
         weights[plan.hog] = weights.get(plan.hog, 0.05) * plan.hog_factor
     teams, shares = list(weights), list(weights.values())
-    planned: list[Planned] = []
+    requests: list[Planned] = []
     at = 0.0
-    while len(planned) < MOST_REQUESTS:
+    while len(requests) < MAX_REQUESTS:
         in_burst = plan.seconds / 3 <= at < 2 * plan.seconds / 3
         at += source.expovariate(plan.rate * (plan.burst if in_burst else 1.0))
         if at >= plan.seconds:
             break
-        asked = draw_class(mix, source)
-        planned.append(
+        class_mix = draw_class(mix, source)
+        requests.append(
             Planned(
-                len(planned) + 1,
+                len(requests) + 1,
                 at,
                 source.choices(teams, shares)[0],
-                asked.name,
-                asked.prompt.draw(source),
-                plan.answer_tokens or asked.answer.draw(source),
+                class_mix.name,
+                class_mix.prompt.draw(source),
+                plan.answer_tokens or class_mix.answer.draw(source),
                 source.random() < plan.resend,
             )
         )
-    return planned
+    return requests
 
 
 def draw_class(mix: Mix, source: random.Random) -> ClassMix:
     return source.choices(mix.classes, [item.share for item in mix.classes])[0]
 
 
-def prompt_of(request: Planned) -> str:
-    """Return a prompt of about its length; stand-in engines read `length=N`."""
+def make_prompt(request: Planned) -> str:
+    """Return a prompt of about the planned length, at four characters a token.
+
+    Stand-in engines take the length of the answer from `length=N`.
+    """
     opening = f"{request.team} {request.class_name} {request.number} "
-    filling = "who has paid and what is left to do? "
+    filler = "who has paid and what is left to do? "
     text = opening + f"length={request.answer_tokens} "
-    return text + filling * (max(0, request.prompt_tokens * 4 - len(text)) // 37)
+    return text + filler * (max(0, request.prompt_tokens * 4 - len(text)) // 37)
--- a/src/godwitmast/load/slopes.py
+++ b/src/godwitmast/load/slopes.py
@@ -1,7 +1,8 @@
-"""Measures how costs grow with the size of a deployment, one slope at a time.
+"""`godwit-load slopes`: how costs grow with the size of a deployment.
 
-Each is processor time or bytes of the real code at several sizes, with a straight
-line fitted through the points; docs/CAPACITY.md works the sizes of later from these.
+Each cost is processor time or bytes of the product's code at several sizes, with a
+straight line fitted through the points. docs/CAPACITY.md extrapolates from the lines to
+larger deployments.
 """
 
 import gc
@@ -44,12 +45,14 @@
 from godwitmast.usage.rows import NodeRow, dump_node
 
 REPEATS = 3
+"""Runs of a timing, of which the fastest counts."""
+
 CLASSES = 7
 POOLS = 28
 
 
 class Slope(NamedTuple):
-    """A cost at several sizes, and the line through it."""
+    """A cost at several sizes, and the line fitted through them."""
 
     name: str
     per: str
@@ -58,7 +61,7 @@
 
     @property
     def fit(self) -> tuple[float, float]:
-        """Return the fixed part and the slope, by least squares."""
+        """Return the fixed cost and the slope, by least squares."""
         count = len(self.points)
         mean_x = sum(x for x, _ in self.points) / count
         mean_y = sum(y for _, y in self.points) / count
@@ -68,7 +71,7 @@
 
 
 def slopes() -> None:
-    """Measure the slopes that docs/CAPACITY.md is worked out from."""
+    """Measure the slopes from which docs/CAPACITY.md is calculated."""
     console = Console(width=110)
     table = Table(title="Slopes, processor time of this machine")
     for heading in ("cost", "points", "fixed", "slope", "per"):
@@ -85,35 +88,35 @@
         fleet_row_size,
         fleet_row_parse,
         demand_row_size,
-        demand_take,
+        demand_apply,
         plan_step,
     ):
         slope = measure()
-        fixed, rise = slope.fit
+        fixed, per_unit = slope.fit
         points = ", ".join(f"{x}: {y:.4g}" for x, y in slope.points)
         table.add_row(
             f"{slope.name}, {slope.unit}",
             points,
             f"{fixed:.3g}",
-            f"{rise:.3g}",
+            f"{per_unit:.3g}",
             slope.per,
         )
     console.print(table)
 
 
 def best_cpu_ms(work: Callable[[], object]) -> float:
-    """Return the least processor time of a few tries, in milliseconds."""
+    """Return the least processor time of REPEATS runs, in milliseconds."""
     times = []
     for _ in range(REPEATS):
         gc.collect()
-        began = time.process_time()
+        started_at = time.process_time()
         work()
-        times.append(time.process_time() - began)
+        times.append(time.process_time() - started_at)
     return 1000 * min(times)
 
 
 def make_document(teams: int) -> dict[str, Any]:
-    """Return a configuration with two keys for each team and the later sizes' rest."""
+    """Return a configuration with two keys a team, 28 models and 850 servers."""
     zones = [f"zone-{n}" for n in range(7)]
     models: dict[str, Any] = {f"model-{n}": {} for n in range(POOLS)}
     return {
@@ -144,38 +147,38 @@
     }
 
 
-TEAMS = (100, 1600, 3200, 6300)
+TEAM_COUNTS = (100, 1600, 3200, 6300)
 
 
 def config_size() -> Slope:
-    points = [(n, len(json.dumps(make_document(n))) / 1024) for n in TEAMS]
+    points = [(n, len(json.dumps(make_document(n))) / 1024) for n in TEAM_COUNTS]
     return Slope("configuration document", "team with 2 keys", "KiB", points)
 
 
 def config_parse() -> Slope:
     points = []
-    for teams in TEAMS:
+    for teams in TEAM_COUNTS:
         raw = make_document(teams)
         points.append((teams, best_cpu_ms(partial(parse_document, raw))))
     return Slope("parse and check a configuration", "team", "ms", points)
 
 
 def config_memory() -> Slope:
-    """Measure the parsed document, with the raw one that it is kept beside."""
+    """Measure the parsed document together with the raw one, which is kept too."""
     points = []
-    for teams in TEAMS:
+    for teams in TEAM_COUNTS:
         text = json.dumps(make_document(teams))
         tracemalloc.start()
         raw = json.loads(text)
-        kept = (raw, parse_document(raw))
+        retained = (raw, parse_document(raw))
         points.append((teams, tracemalloc.get_traced_memory()[0] / 2**20))
         tracemalloc.stop()
-        del kept
+        del retained
     return Slope("configuration in memory", "team", "MiB", points)
 
 
 def fill_metrics(teams: int) -> EntryMetrics:
-    """Return metrics after each team used two classes, with both ends."""
+    """Return metrics after each team had an answer and a refusal in two classes."""
     metrics = EntryMetrics()
     target = RequestClass(1, first_token_s=1.2)
     for team in range(teams):
@@ -188,29 +191,32 @@
 
 def scrape_size() -> Slope:
     points = [
-        (n, len(generate_latest(fill_metrics(n).team_registry)) / 1024) for n in TEAMS
+        (n, len(generate_latest(fill_metrics(n).team_registry)) / 1024)
+        for n in TEAM_COUNTS
     ]
     return Slope("/metrics/teams", "team", "KiB", points)
 
 
 def scrape_time() -> Slope:
     points = []
-    for teams in TEAMS:
+    for teams in TEAM_COUNTS:
         registry = fill_metrics(teams).team_registry
         points.append((teams, best_cpu_ms(partial(generate_latest, registry))))
     return Slope("write /metrics/teams", "team", "ms", points)
 
 
 def class_scrape_size() -> Slope:
-    points = [(n, len(generate_latest(fill_metrics(n).registry)) / 1024) for n in TEAMS]
+    points = [
+        (n, len(generate_latest(fill_metrics(n).registry)) / 1024) for n in TEAM_COUNTS
+    ]
     return Slope("/metrics", "team", "KiB", points)
 
 
-ROUTED = 3000
+ROUTED_REQUESTS = 3000
 
 
 def router_cost() -> Slope:
-    """Measure requests from submission to their end, by the zone's servers."""
+    """Measure the decisions of a request, by the number of servers of its model."""
     document = parse_document(make_document(1600))
     points = []
     for servers in (20, 120, 400, 850):
@@ -222,15 +228,20 @@
         ]
         router = Router(document, ZoneName("zone-0"))
         router.update_backends(specs, 0.0)
-        points.append((servers, 1000 * best_cpu_ms(partial(route, router)) / ROUTED))
+        points.append(
+            (
+                servers,
+                1000 * best_cpu_ms(partial(route_requests, router)) / ROUTED_REQUESTS,
+            )
+        )
     return Slope("decisions of a request", "server of its model", "us", points)
 
 
-def route(router: Router) -> None:
-    """Take requests from their submission to their end, a hundred at a time."""
+def route_requests(router: Router) -> None:
+    """Submit requests and complete them, with up to a hundred running at once."""
     now = 0.0
     started: list[Start] = []
-    for number in range(ROUTED):
+    for number in range(ROUTED_REQUESTS):
         now += 0.01
         request = RequestSpec(
             RequestId(f"r{number}"),
@@ -249,7 +260,7 @@
         router.record_completion(start.request_id, start.attempt_id, now)
 
 
-SERVERS = (50, 200, 400, 850)
+SERVER_COUNTS = (50, 200, 400, 850)
 
 
 def make_fleet(servers: int) -> FleetRow:
@@ -269,7 +280,7 @@
 
 
 def usage_row_size() -> Slope:
-    """Measure an entry's journal row by the team, class and model sums in it."""
+    """Measure an entry's journal row, by its sums of a team, class and model."""
     points = []
     for count in (50, 250, 500, 1000):
         sums = {
@@ -286,14 +297,14 @@
 def fleet_row_size() -> Slope:
     points = [
         (n, len(json.dumps(dump_fleet(make_fleet(n))[SERVERS_KEY])) / 1024)
-        for n in SERVERS
+        for n in SERVER_COUNTS
     ]
     return Slope("fleet row", "server", "KiB", points)
 
 
 def fleet_row_parse() -> Slope:
     points = []
-    for servers in SERVERS:
+    for servers in SERVER_COUNTS:
         text = json.dumps(dump_fleet(make_fleet(servers))[SERVERS_KEY])
         points.append((servers, best_cpu_ms(partial(read_fleet, text))))
     return Slope("read the fleet row", "server", "ms", points)
@@ -321,56 +332,60 @@
     return Slope("an entry's demand row", "model with 7 classes", "KiB", points)
 
 
-CHANGED = 0.22
-"""Share of an entry's 196 counts that change in 5 s, when 350 entries share 3,000
+CHANGED_SHARE = 0.22
+"""Share of an entry's 196 demand sums that change in 5 s, when 350 entries share 3,000
 requests a second."""
 
 
-def demand_take() -> Slope:
-    """Measure adding up the rows of all entries, as the orders' holder does."""
+def demand_apply() -> Slope:
+    """Measure adding up all entries' rows, as the lease holder for orders does."""
     points = []
     for nodes in (9, 100, 200, 350):
-        meter, book = make_demand(POOLS), DemandAggregator()
+        meter, aggregator = make_demand(POOLS), DemandAggregator()
         first = meter.dump("0a1b2c3d", {})
         keys = sorted(meter.sums)
-        for key in keys[: int(CHANGED * len(keys))]:
+        for key in keys[: int(CHANGED_SHARE * len(keys))]:
             meter.record_request(key, 300)
-        pair = [first, meter.dump("0a1b2c3d", {})]
-        points.append((nodes, best_cpu_ms(partial(take_twice, book, nodes, pair)) / 2))
+        values = [first, meter.dump("0a1b2c3d", {})]
+        points.append(
+            (nodes, best_cpu_ms(partial(apply_twice, aggregator, nodes, values)) / 2)
+        )
     return Slope("add up the demand rows", "entry", "ms", points)
 
 
-def take_twice(book: DemandAggregator, nodes: int, pair: list[Any]) -> None:
-    """Take two rounds of rows, each new to the book."""
-    for value in pair:
-        now = (book.updated_at or 0.0) + 5.0
+def apply_twice(aggregator: DemandAggregator, nodes: int, values: list[Any]) -> None:
+    """Apply two rounds of rows with increasing versions."""
+    for value in values:
+        now = (aggregator.updated_at or 0.0) + 5.0
         rows = {f"demand/{n}": (int(now), value) for n in range(nodes)}
-        book.apply_rows(rows, now)
+        aggregator.apply_rows(rows, now)
 
 
 def plan_step() -> Slope:
-    """Measure a round of the plans of all 28 models."""
+    """Measure one planning round for all 28 models."""
     zones = [ZoneName(f"zone-{n}") for n in range(7)]
     points = []
-    for servers in SERVERS:
+    for servers in SERVER_COUNTS:
         planners = [
             Planner(PoolName(f"model-{n}"), zones, CapacityPolicy())
             for n in range(POOLS)
         ]
-        views = [make_view(servers // POOLS, zones) for _ in planners]
-        points.append((servers, best_cpu_ms(partial(plan, planners, views))))
+        plan_inputs = [make_plan_input(servers // POOLS, zones) for _ in planners]
+        points.append(
+            (servers, best_cpu_ms(partial(plan_round, planners, plan_inputs)))
+        )
     return Slope("plan a round for 28 models", "server", "ms", points)
 
 
-def plan(planners: list[Planner], views: list[PlanInput]) -> None:
-    for planner, view in zip(planners, views, strict=True):
-        planner.step(view)
+def plan_round(planners: list[Planner], plan_inputs: list[PlanInput]) -> None:
+    for planner, plan_input in zip(planners, plan_inputs, strict=True):
+        planner.step(plan_input)
 
 
-def make_view(servers: int, zones: list[ZoneName]) -> PlanInput:
+def make_plan_input(servers: int, zones: list[ZoneName]) -> PlanInput:
     demand = [ClassDemand(ClassName(f"c{n}"), n + 1, servers / 12) for n in range(7)]
-    views = [
+    plan_inputs = [
         ServerView(BackendId(f"s{n}"), zones[n % 7], "cheap", ServerState.SERVING)
         for n in range(servers)
     ]
-    return PlanInput(0.0, demand, views)
+    return PlanInput(0.0, demand, plan_inputs)
--- a/src/godwitmast/load/spend.py
+++ b/src/godwitmast/load/spend.py
@@ -1,4 +1,4 @@
-"""Measures spend and attainment of the capacity plan against two baselines."""
+"""`godwit-load spend`: spend and attainment of the capacity plan and two baselines."""
 
 import math
 import statistics
@@ -21,7 +21,7 @@
 from godwitmast.types import PoolName, ZoneName
 
 ROUNDING = 1e-9
-"""Sums of fractions of requests differ by this much from run to run of the same day."""
+"""Attainments of the same day differ by this much, as sums of fractions of requests."""
 
 POLICIES = ("plan", "fixed", "utilisation")
 
@@ -40,7 +40,7 @@
 
 
 class Trial(NamedTuple):
-    """One run of one policy."""
+    """One simulation of a policy on a mix."""
 
     mix: str
     policy: str
@@ -48,64 +48,64 @@
     zone_loss: bool
 
 
-def make_intention(mix: Mix) -> CapacityPolicy:
-    """Return the intention that both examples configure."""
+def make_capacity_policy(mix: Mix) -> CapacityPolicy:
+    """Return the capacity policy that both example configurations have."""
     return CapacityPolicy(
         min_servers=3, max_servers=12, zones=frozenset(mix.zones), cheap_share=0.6
     )
 
 
-def peak_servers(mix: Mix) -> int:
-    """Return the fixed fleet: the profile's highest rate at the plan's utilisation."""
-    intention = make_intention(mix)
-    unit = sum(
+def fixed_fleet_size(mix: Mix) -> int:
+    """Return the servers that the mix's peak rate needs at the planned utilisation."""
+    capacity_policy = make_capacity_policy(mix)
+    mean_work_s = sum(
         c.share
         * (
-            c.prompt.mean / intention.prompt_tokens_per_s
-            + c.answer.mean / intention.output_tokens_per_s
+            c.prompt.mean / capacity_policy.prompt_tokens_per_s
+            + c.answer.mean / capacity_policy.output_tokens_per_s
         )
         for c in mix.classes
     )
-    return math.ceil(peak_rate(mix)[1] * unit / PLANNED_UTILISATION)
+    return math.ceil(peak_rate(mix)[1] * mean_work_s / PLANNED_UTILISATION)
 
 
 def peak_rate(mix: Mix) -> tuple[int, float]:
-    """Return the second of the highest rate, and the rate."""
+    """Return the time of the highest rate, in seconds, and that rate."""
     times = range(0, int(mix.duration_s), 60)
-    at = max(times, key=mix.rate)
-    return at, mix.rate(at)
+    second = max(times, key=mix.rate)
+    return second, mix.rate(second)
 
 
 def make_scaler(policy: str, mix: Mix) -> Scaler:
-    intention = make_intention(mix)
+    capacity_policy = make_capacity_policy(mix)
     zones = [ZoneName(zone) for zone in mix.zones]
     match policy:
         case "plan":
-            return Planner(PoolName(mix.model), zones, intention)
+            return Planner(PoolName(mix.model), zones, capacity_policy)
         case "utilisation":
-            return TargetUtilisation(PoolName(mix.model), zones, intention)
+            return TargetUtilisation(PoolName(mix.model), zones, capacity_policy)
         case _:
             return FixedFleet()
 
 
 def run_trial(trial: Trial) -> FleetResult:
-    """Play one policy through one mix and seed."""
+    """Simulate one policy on one mix with one seed."""
     mix = MIXES[trial.mix]
-    count = peak_servers(mix)
+    count = fixed_fleet_size(mix)
     kinds: list[ServerKind] = ["on_demand"] * count
     if trial.policy == "plan":
         kinds = ["on_demand" if n % 5 < 2 else "cheap" for n in range(count)]
     start = [(ZoneName(mix.zones[n % 3]), kind) for n, kind in enumerate(kinds)]
     loss_at = peak_rate(mix)[0] if trial.zone_loss else None
-    model = FleetModel(mix, trial.seed, make_intention(mix), start, loss_at)
+    model = FleetModel(mix, trial.seed, make_capacity_policy(mix), start, loss_at)
     model.run(make_scaler(trial.policy, mix))
     return model.result()
 
 
 def measure(mixes: list[str], seeds: int, zone_loss: bool, processes: int) -> bool:
-    """Print the comparison; return whether the plan meets its aims."""
+    """Print the comparison; return whether the plan meets all its aims."""
     console = Console(width=110)
-    good = True
+    aims_met = True
     for name in mixes:
         trials = [
             Trial(name, policy, seed, zone_loss)
@@ -121,8 +121,8 @@
             for policy in POLICIES
         }
         console.print(compare_table(name, seeds, by_policy))
-        good &= print_verdict(console, by_policy)
-    return good
+        aims_met &= print_verdict(console, by_policy)
+    return aims_met
 
 
 def compare_table(
@@ -162,10 +162,10 @@
 
 
 def print_verdict(console: Console, by_policy: dict[str, list[FleetResult]]) -> bool:
-    """Print each aim beside what was seen; return whether all are met."""
+    """Print each aim with the result; return whether all are met."""
     plan, fixed = by_policy["plan"], by_policy["fixed"]
-    saved = 1 - mean_of(plan, "spend") / mean_of(fixed, "spend")
-    hours = 1 - mean_of(plan, "server_hours") / mean_of(fixed, "server_hours")
+    spend_saved = 1 - mean_of(plan, "spend") / mean_of(fixed, "spend")
+    hours_saved = 1 - mean_of(plan, "server_hours") / mean_of(fixed, "server_hours")
     cheap = mean_of(plan, "cheap_work")
     worst = min(
         statistics.fmean(
@@ -175,7 +175,10 @@
         for name in plan[0].attainment
     )
     aims = [
-        (saved >= 0.30, f"spend against fixed: {-saved:+.1%} (aim at most -30%)"),
+        (
+            spend_saved >= 0.30,
+            f"spend against fixed: {-spend_saved:+.1%} (aim at most -30%)",
+        ),
         (
             worst >= -ROUNDING,
             f"worst class against fixed: {100 * worst:+.3f} points (aim 0)",
@@ -184,11 +187,16 @@
     ]
     if plan[0].zone_loss:
         names = list(plan[0].zone_loss)[:2]
-        lost = max(r.zone_loss[name] for r in plan for name in names)
+        points_lost = max(r.zone_loss[name] for r in plan for name in names)
         aims.append(
-            (lost <= 1, f"top two tiers, zone lost, worst seed: -{lost:.2f} points")
+            (
+                points_lost <= 1,
+                f"top two tiers, zone lost, worst seed: -{points_lost:.2f} points",
+            )
         )
     for met, text in aims:
         console.print(f"{'met   ' if met else 'MISSED'} {text}")
-    console.print(f"       server hours against fixed: {-hours:+.1%}, at any price")
+    console.print(
+        f"       server hours against fixed: {-hours_saved:+.1%}, at any price"
+    )
     return all(met for met, _ in aims)
--- a/src/godwitmast/load/steps.py
+++ b/src/godwitmast/load/steps.py
@@ -1,4 +1,4 @@
-"""The scenario language: what each line of a scenario file means."""
+"""Parser of scenario files: each step's pattern, and its effect on the scenario."""
 
 import re
 from collections.abc import Callable
@@ -22,7 +22,7 @@
     WithdrawKey,
 )
 
-EMPTY = Scenario("", (), {}, {}, ())
+EMPTY_SCENARIO = Scenario("", (), {}, {}, ())
 
 Handler = Callable[..., Scenario]
 
@@ -30,11 +30,11 @@
 
 
 class ScenarioInvalid(GodwitError):
-    """A scenario file says something that the language does not know."""
+    """A scenario file is not valid; the text gives the file, line and step."""
 
 
 def step(pattern: str) -> Callable[[Handler], Handler]:
-    """Register what a line of this pattern does to the scenario."""
+    """Register the decorated function as the handler of lines of this pattern."""
 
     def register(handler: Handler) -> Handler:
         STEPS.append((parse.compile(pattern, case_sensitive=True), handler))
@@ -44,7 +44,7 @@
 
 
 def read_scenarios(path: Path) -> list[Scenario]:
-    """Return the scenarios of a feature file, or raise ScenarioInvalid."""
+    """Return the scenarios of a feature file; ScenarioInvalid if it has errors."""
     try:
         document: Any = Parser().parse(path.read_text())
     except OSError as error:
@@ -57,44 +57,48 @@
         if "background" in child:
             background = child["background"]["steps"]
         elif "scenario" in child:
-            scenarios.append(build(path, child["scenario"], background))
+            scenarios.append(build_scenario(path, child["scenario"], background))
     if not scenarios:
-        raise ScenarioInvalid(f"{path}: there is no scenario in it")
+        raise ScenarioInvalid(f"{path}: the file contains no scenario")
     return scenarios
 
 
-def build(path: Path, told: Any, background: list[Any]) -> Scenario:
-    """Return the scenario that the lines of one `Scenario:` tell."""
-    scenario = EMPTY._replace(name=told["name"])
-    for line in [*background, *told["steps"]]:
+def build_scenario(path: Path, parsed: Any, background: list[Any]) -> Scenario:
+    """Return the scenario that the steps of one `Scenario:` describe."""
+    scenario = EMPTY_SCENARIO._replace(name=parsed["name"])
+    for line in [*background, *parsed["steps"]]:
         place = f"{path}:{line['location']['line']}"
         scenario = apply_line(scenario, line["text"], place)
     if not scenario.engines or not scenario.sources:
-        raise ScenarioInvalid(f"{path}: {told['name']!r} names no engines or no load")
+        raise ScenarioInvalid(
+            f"{path}: {parsed['name']!r} defines no engines or no load"
+        )
     return scenario
 
 
 def apply_line(scenario: Scenario, text: str, place: str) -> Scenario:
     for pattern, handler in STEPS:
-        found = pattern.parse(text)
-        if found is not None:
-            return handler(scenario, *found.fixed, **found.named)
+        match = pattern.parse(text)
+        if match is not None:
+            return handler(scenario, *match.fixed, **match.named)
     known = "; ".join(pattern._format for pattern, _ in STEPS)
-    raise ScenarioInvalid(f"{place}: {text!r} is not known; these are: {known}")
+    raise ScenarioInvalid(
+        f"{place}: {text!r} matches no known step; the steps are: {known}"
+    )
 
 
 @step("{count:d} engines in {zones:d} zones")
 def engines(scenario: Scenario, count: int, zones: int) -> Scenario:
-    made = tuple(
+    added = tuple(
         EngineSpec(f"engine-{n + 1}", f"zone-{n % zones + 1}") for n in range(count)
     )
-    return scenario._replace(engines=scenario.engines + made)
+    return scenario._replace(engines=scenario.engines + added)
 
 
 @step("{count:d} cheap engines in {zone}")
 def cheap_engines(scenario: Scenario, count: int, zone: str) -> Scenario:
-    made = tuple(EngineSpec(f"cheap-{zone}-{n + 1}", zone, True) for n in range(count))
-    return scenario._replace(engines=scenario.engines + made)
+    added = tuple(EngineSpec(f"cheap-{zone}-{n + 1}", zone, True) for n in range(count))
+    return scenario._replace(engines=scenario.engines + added)
 
 
 @step("{count:d} entries")
@@ -106,7 +110,7 @@
     'class "{name}" of tier {tier:d} with first token in {first:g} s'
     " and {between:g} ms between tokens"
 )
-def quick_class(
+def streaming_class(
     scenario: Scenario, name: str, tier: int, first: float, between: float
 ) -> Scenario:
     targets = {
@@ -118,7 +122,9 @@
 
 
 @step('class "{name}" of tier {tier:d} with completion in {whole:g} s')
-def whole_class(scenario: Scenario, name: str, tier: int, whole: float) -> Scenario:
+def completion_class(
+    scenario: Scenario, name: str, tier: int, whole: float
+) -> Scenario:
     targets = {"tier": tier, "completion_s": whole}
     return scenario._replace(classes={**scenario.classes, name: targets})
 
@@ -135,7 +141,7 @@
 
 
 @step('team "{name}" has weight {weight:g}')
-def weight(scenario: Scenario, name: str, weight: float) -> Scenario:
+def team_weight(scenario: Scenario, name: str, weight: float) -> Scenario:
     return scenario._replace(teams={**scenario.teams, name: weight})
 
 
@@ -147,18 +153,18 @@
     scenario: Scenario, percent: float, name: str, prompt: int, answer: int
 ) -> Scenario:
     share = percent / 100 / len(scenario.teams)
-    made = tuple(Source(team, name, share, prompt, answer) for team in scenario.teams)
-    return scenario._replace(sources=scenario.sources + made)
+    added = tuple(Source(team, name, share, prompt, answer) for team in scenario.teams)
+    return scenario._replace(sources=scenario.sources + added)
 
 
 @step('team "{name}" sends {percent:g} % of all requests')
-def hog(scenario: Scenario, name: str, percent: float) -> Scenario:
-    """Scale the team's sources so that they are this part of all requests."""
-    mine = sum(s.share for s in scenario.sources if s.team == name)
-    rest = sum(s.share for s in scenario.sources) - mine
-    wanted = rest * percent / (100 - percent)
+def team_share(scenario: Scenario, name: str, percent: float) -> Scenario:
+    """Scale the team's sources so that they have this share of all requests."""
+    own_share = sum(s.share for s in scenario.sources if s.team == name)
+    other_share = sum(s.share for s in scenario.sources) - own_share
+    target_share = other_share * percent / (100 - percent)
     scaled = tuple(
-        s._replace(share=s.share * wanted / mine) if s.team == name else s
+        s._replace(share=s.share * target_share / own_share) if s.team == name else s
         for s in scenario.sources
     )
     return scenario._replace(sources=scaled)
@@ -174,12 +180,12 @@
 
 
 @step("callers resend what was refused up to {tries:d} times, heeding Retry-After")
-def patient(scenario: Scenario, tries: int) -> Scenario:
+def resend_after_retry_after(scenario: Scenario, tries: int) -> Scenario:
     return scenario._replace(resend=scenario.resend._replace(tries=tries))
 
 
 @step("callers resend what was refused up to {tries:d} times, every {wait:g} s")
-def impatient(scenario: Scenario, tries: int, wait: float) -> Scenario:
+def resend_at_interval(scenario: Scenario, tries: int, wait: float) -> Scenario:
     return scenario._replace(
         resend=scenario.resend._replace(
             tries=tries, wait_s=wait, heed_retry_after=False
@@ -188,7 +194,7 @@
 
 
 @step("the load is {load:g} times capacity for {seconds:g} s")
-def run(scenario: Scenario, load: float, seconds: float) -> Scenario:
+def load_and_duration(scenario: Scenario, load: float, seconds: float) -> Scenario:
     return scenario._replace(load=load, run_s=seconds)
 
 
@@ -201,7 +207,9 @@
 
 
 @step("from {begin:g} s to {end:g} s requests come {factor:g} times as often")
-def burst(scenario: Scenario, begin: float, end: float, factor: float) -> Scenario:
+def all_classes_burst(
+    scenario: Scenario, begin: float, end: float, factor: float
+) -> Scenario:
     return scenario._replace(phases=(*scenario.phases, Phase(begin, end, factor)))
 
 
@@ -250,7 +258,7 @@
 
 
 @step("at most {percent:g} % of generated tokens are wasted")
-def wasted(scenario: Scenario, percent: float) -> Scenario:
+def wasted_tokens(scenario: Scenario, percent: float) -> Scenario:
     return add_check(scenario, "wasted", "", at_most=percent / 100)
 
 
@@ -270,7 +278,7 @@
 
 
 @step('at most {count:d} "{code}" refusals reach other requests')
-def innocents(scenario: Scenario, count: int, code: str) -> Scenario:
+def innocent_refusals(scenario: Scenario, count: int, code: str) -> Scenario:
     return add_check(scenario, "innocent_refused", code, at_most=count)
 
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -30,7 +30,7 @@
     split_by_kind,
 )
 from godwitmast.config.document import CapacityPolicy
-from godwitmast.load.fleet_model import STEP_S
+from godwitmast.load.fleet_model import DECODE_STEP_S
 from godwitmast.load.moves import play_moves
 from godwitmast.load.spend import Trial, run_trial
 from godwitmast.standins.engine_model import EngineModel, Sequence
@@ -245,7 +245,7 @@
         took += engine.step().duration_s
     work = 96 * (400 / INTENTION.prompt_tokens_per_s + 200 / 1400)
     assert took == pytest.approx(work, rel=0.1)
-    assert pytest.approx(INTENTION.output_tokens_per_s, rel=0.01) == 32 / STEP_S
+    assert pytest.approx(INTENTION.output_tokens_per_s, rel=0.01) == 32 / DECODE_STEP_S
 
 
 def test_a_day_of_the_trust_costs_less_and_loses_no_class() -> None:
--- a/tests/test_peers_machine.py
+++ b/tests/test_peers_machine.py
@@ -8,7 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from godwitmast.load.peer_network import FakeNetwork, FakeNode, Weather
+from godwitmast.load.peer_network import FakeNetwork, FakeNode
+from godwitmast.load.peer_network import NetworkFaults as Weather
 from godwitmast.peers.machine import PeerMachine
 from godwitmast.peers.messages import HangUp, KnownVm, MemberState, Place, Send, Topic
 
@@ -24,19 +25,21 @@
     for number in range(count):
         zone = number % zones
         network.add(f"n{number}", f"z{zone}", "r1" if zone < 4 else "r2")
-    network.introduce()
-    network.know_all()
+    network.set_known_vms()
+    network.fill_member_tables()
     network.run(3)
     return network
 
 
 def set_config(network: FakeNetwork, fake: FakeNode, number: int) -> None:
     fake.config.set(number)
-    network.act(fake.machine.place.address, lambda m: m.config_changed(network.now))
+    network.call_machine(
+        fake.machine.place.address, lambda m: m.config_changed(network.now)
+    )
 
 
 def publish(network: FakeNetwork, fake: FakeNode, topic: Topic, key: str) -> None:
-    network.act(
+    network.call_machine(
         fake.machine.place.address,
         lambda m: m.publish_record(topic, key, True, 600, network.now),
     )
@@ -278,7 +281,7 @@
 
 def test_node_that_leaves_is_off_every_list_at_once() -> None:
     network = build(50, 7)
-    network.act("n4:1", lambda m: m.leave(network.now))
+    network.call_machine("n4:1", lambda m: m.leave(network.now))
     network.run(0.5)
     network.kill("n4:1")
     assert all("n4" not in listed(fake) for fake in network.live())
@@ -322,7 +325,7 @@
     network.run(1)
     for number in range(9):
         place = network.nodes[f"n{number}:1"].machine.place
-        network.act(f"n{number}:1", lambda m: m.leave(network.now))
+        network.call_machine(f"n{number}:1", lambda m: m.leave(network.now))
         network.run(0.2)
         network.kill(f"n{number}:1")
         new = network.add(f"new{number}", place.zone, version=0)
@@ -393,7 +396,7 @@
 def test_load_is_told_to_the_zone_and_to_no_other() -> None:
     network = build(50, 5)
     for fake in network.live():
-        network.act(
+        network.call_machine(
             fake.machine.place.address,
             lambda m: m.publish_record(
                 Topic.LOAD, m.node, ((1, 2, 3, 4, 5),), 30, network.now
