--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""The scenario language and the player."""
+"""Parser and simulation of scenarios."""
 
 from pathlib import Path
 
@@ -38,7 +38,7 @@
 
 
 def test_fault_of_the_baseline_shows_in_its_score() -> None:
-    """A plain proxy cuts the streams of an engine that crashes: the check finds it."""
+    """A plain proxy resumes no stream of a crashed engine: the check on cuts fails."""
     scenario = read_scenarios(SCENARIOS / "crash.feature")[0]._replace(run_s=70.0)
     result = play_once(scenario, "fifo", 1)
     assert any(failure.startswith("cut") for failure in result.failures)
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize("name", sorted(p.stem for p in SCENARIOS.glob("*.feature")))
 def test_checks_of_the_scenario_hold(name: str) -> None:
-    """Every check that the file's scenarios state, for the product's policy, seed 1."""
+    """Simulates each scenario of the file with the policy `godwit` and seed 1."""
     failures = {
         scenario.name: play_once(scenario, "godwit", 1).failures
         for scenario in read_scenarios(SCENARIOS / f"{name}.feature")
