--- a/src/godwitmast/load/http_load.py
+++ b/src/godwitmast/load/http_load.py
@@ -81,7 +81,7 @@
         return self.result
 
     async def serve(self, client: httpx.AsyncClient, request: Planned) -> None:
-        """Send one request, and resend it once after a refusal if the plan says so."""
+        """Send one request, and resend it once after a refusal if its caller does."""
         try:
             result = await self.send(client, request)
             if result.retry_after_s is not None and request.resends:
--- a/src/godwitmast/load/moves.py
+++ b/src/godwitmast/load/moves.py
@@ -44,8 +44,8 @@
     for speed in LINK_GBIT_S:
         table.add_column(f"move, {speed:g} Gb/s")
     for context in CONTEXT_TOKENS:
-        cells = [show(play_moves(context, None))]
-        cells += [show(play_moves(context, speed)) for speed in LINK_GBIT_S]
+        cells = [show(simulate_moves(context, None))]
+        cells += [show(simulate_moves(context, speed)) for speed in LINK_GBIT_S]
         table.add_row(str(context), *cells)
     Console(width=110).print(table)
 
@@ -57,7 +57,7 @@
     )
 
 
-def play_moves(context: int, link_gbit_s: float | None) -> MovePauses:
+def simulate_moves(context: int, link_gbit_s: float | None) -> MovePauses:
     """Simulate one remaining server; without a link speed contexts are recomputed."""
     engine = EngineModel()
     for number in range(RESIDENT_STREAMS):
--- a/src/godwitmast/load/peers.py
+++ b/src/godwitmast/load/peers.py
@@ -83,7 +83,7 @@
     address = machine.place.address
     nodes = machine.zone_nodes()
     replicas = [f"{machine.place.zone}-{n}" for n in range(replica_count(len(nodes)))]
-    mine = [r for r in replicas if choose_pollers(r, nodes)[0] == machine.node]
+    polled = [r for r in replicas if choose_pollers(r, nodes)[0] == machine.node]
 
     def publish(topic: Topic, period: float, value: Callable[[], object]) -> None:
         left_s = RECORD_TTL_PERIODS * period
@@ -97,7 +97,7 @@
         pick = network.random.randrange
         return tuple(
             LoadEntry(short_hash(r), pick(32), pick(8), pick(900), pick(20))
-            for r in mine
+            for r in polled
         )
 
     def service() -> dict[str, tuple[int, int]]:
@@ -110,7 +110,7 @@
 
     load_period = max(LOAD_INTERVAL_S, LOAD_PER_NODE_S * len(nodes))
     service_period = max(SERVICE_INTERVAL_S, SERVICE_PER_NODE_S * len(nodes))
-    if mine:
+    if polled:
         wait = network.random.random() * load_period
         network.schedule(wait, lambda: publish(Topic.LOAD, load_period, load))
     wait = network.random.random() * service_period
--- a/src/godwitmast/load/play.py
+++ b/src/godwitmast/load/play.py
@@ -27,7 +27,7 @@
 
 def play_once(scenario: Scenario, policy: str, seed: int) -> PlayResult:
     """Simulate a scenario once and return its measures."""
-    score = Simulation(scenario, policy, seed).play()
+    score = Simulation(scenario, policy, seed).run()
     values = {name: score.attainment(name) for name in scenario.classes}
     values |= {
         "goodput t/s": score.goodput,
--- a/src/godwitmast/load/simulation.py
+++ b/src/godwitmast/load/simulation.py
@@ -155,7 +155,7 @@
     def schedule(self, when: float, event: Callable[..., None], *args: Any) -> None:
         heapq.heappush(self.events, (when, next(self.event_numbers), event, args))
 
-    def play(self) -> Score:
+    def run(self) -> Score:
         """Run the scenario to its end and return its score."""
         self.update_backends()
         for number in range(len(self.policies)):
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -31,7 +31,7 @@
 )
 from godwitmast.config.document import CapacityPolicy
 from godwitmast.load.fleet_model import DECODE_STEP_S
-from godwitmast.load.moves import play_moves
+from godwitmast.load.moves import simulate_moves
 from godwitmast.load.spend import Trial, run_trial
 from godwitmast.standins.engine_model import EngineModel, Sequence
 from godwitmast.types import BackendId, ClassName, PoolName, ZoneName
@@ -259,8 +259,8 @@
 
 
 def test_a_moved_cache_saves_the_surviving_server_the_prefill() -> None:
-    recomputed, moved = play_moves(4096, None), play_moves(4096, 100.0)
+    recomputed, moved = simulate_moves(4096, None), simulate_moves(4096, 100.0)
     assert recomputed.resident_gap_s > 2 * moved.resident_gap_s
     assert moved.pause_worst_s < recomputed.pause_worst_s
-    slow = play_moves(4096, 10.0)
+    slow = simulate_moves(4096, 10.0)
     assert slow.pause_worst_s > recomputed.pause_worst_s
