--- a/src/godwitmast/load/moves.py
+++ b/src/godwitmast/load/moves.py
@@ -62,7 +62,7 @@
     engine = EngineModel()
     for number in range(RESIDENT_STREAMS):
         engine.submit(Sequence(f"resident-{number}", 1, 100_000))
-    while any(s.unread for s in engine.running.values()) or engine.waiting:
+    while any(s.prefill_left for s in engine.running.values()) or engine.waiting:
         engine.step()
     arrivals = deque(schedule_arrivals(context, link_gbit_s))
     pauses: dict[str, float] = {}
@@ -97,6 +97,6 @@
         if link_gbit_s is not None:
             transfer_s = context * KV_BYTES_PER_TOKEN * 8 / (link_gbit_s * 1e9)
             at = 2 * (number + 1) * transfer_s
-            sequence.imported = context
+            sequence.imported_tokens = context
         arrivals.append((at, sequence))
     return arrivals
--- a/src/godwitmast/standins/engine.py
+++ b/src/godwitmast/standins/engine.py
@@ -146,7 +146,7 @@
             self.crash()
         request_id = request.headers.get("x-request-id") or f"seq-{self.calls}"
         sequence = make_sequence(f"{request_id}/{self.calls}", body, prompt)
-        sequence.imported = self.imported_kv.pop(request_id, 0)
+        sequence.imported_tokens = self.imported_kv.pop(request_id, 0)
         self.served.append(
             {
                 "request_id": request_id,
--- a/src/godwitmast/standins/engine_model.py
+++ b/src/godwitmast/standins/engine_model.py
@@ -39,9 +39,9 @@
     prefix: str = ""
     prefix_tokens: int = 0
     generated: int = 0
-    imported: int = 0
+    imported_tokens: int = 0
     """Tokens whose KV cache came from another engine and need no prefill."""
-    unread: int = 0
+    prefill_left: int = 0
     """Tokens that prefill has still to process."""
     order: int = 0
     """Number of the sequence in the order of submission."""
@@ -128,11 +128,11 @@
         prefilled = 0
         decoding = []
         for sequence in self.running.values():
-            if sequence.unread:
-                chunk = min(sequence.unread, prefill_budget - prefilled)
-                sequence.unread -= chunk
+            if sequence.prefill_left:
+                chunk = min(sequence.prefill_left, prefill_budget - prefilled)
+                sequence.prefill_left -= chunk
                 prefilled += chunk
-                if sequence.unread:
+                if sequence.prefill_left:
                     continue
             decoding.append(sequence)
         events = [self.decode(sequence) for sequence in decoding]
@@ -159,17 +159,19 @@
         """Requeue a running sequence; its prompt and answer need prefill again."""
         del self.running[victim.sequence_id]
         self.preempted.append(Preempted(victim.sequence_id, tuple(self.running)))
-        victim.imported = 0
+        victim.imported_tokens = 0
         self.enqueue(victim)
 
     def admit(self, sequence: Sequence) -> None:
         """Move a sequence into the batch; cached or imported tokens need no prefill."""
-        reusable = sequence.imported
+        reusable = sequence.imported_tokens
         if sequence.prefix:
             cached = min(self.cache.get(sequence.prefix, 0), sequence.prompt_tokens - 1)
             reusable = max(reusable, cached)
             self.cache_prefix(sequence.prefix, sequence.prefix_tokens)
-        sequence.unread = max(1, sequence.prompt_tokens + sequence.generated - reusable)
+        sequence.prefill_left = max(
+            1, sequence.prompt_tokens + sequence.generated - reusable
+        )
         self.running[sequence.sequence_id] = sequence
 
     def decode(self, sequence: Sequence) -> TokenEvent:
--- a/src/godwitmast/standins/replica.py
+++ b/src/godwitmast/standins/replica.py
@@ -63,7 +63,7 @@
     faults: ReplicaFaults = field(default_factory=ReplicaFaults)
     served: list[ReceivedRequest] = field(default_factory=list)
     running: int = 0
-    left: int = 0
+    disconnects: int = 0
     """Number of callers that closed their connection before the end of the answer."""
 
     def __post_init__(self) -> None:
@@ -71,12 +71,12 @@
 
     async def start(self, tasks: TaskGroup) -> None:
         await self.server.start(tasks)
-        self.say(READY)
+        self.publish_row(READY)
 
     async def close(self) -> None:
         await self.server.close()
 
-    def say(self, state: str, **more_fields: Json) -> None:
+    def publish_row(self, state: str, **more_fields: Json) -> None:
         """Write this server's row to the store; `more_fields` replace or add to it."""
         row = {
             "service": self.service,
@@ -120,7 +120,7 @@
         """Cancel the work when the caller closes its connection, as most servers do."""
         while (await receive())["type"] != "http.disconnect":
             pass
-        self.left += 1
+        self.disconnects += 1
         scope.cancel()
 
     async def answer(self, headers: dict[str, str], send: Send) -> None:
--- a/src/godwitmast/standins/store.py
+++ b/src/godwitmast/standins/store.py
@@ -58,13 +58,13 @@
 class StoreFaults:
     """Faults that are switched on at the moment."""
 
-    refused: int | None = None
+    refusal_status: int | None = None
     """Status with which every call is refused; nothing is executed."""
     silent: bool = False
     """No call is executed or answered."""
     answers_lost: bool = False
     """Calls are executed, but not answered."""
-    dry: bool = False
+    spot_unavailable: bool = False
     """Orders of spot servers are refused, as there are none."""
     late_s: float = 0.0
     """If above 0, transactions get no answer and are executed after this delay, unless a
@@ -132,7 +132,7 @@
         value = base64.b64encode(content).decode()
         self.write([StoredRow(key, table, value=value)])
 
-    def forget_history(self) -> None:
+    def compact_history(self) -> None:
         """Drop the history of all changes so far, as the store may at any time."""
         self.compacted_version = self.version
         self.history.clear()
@@ -145,8 +145,8 @@
         self.calls.append(path)
         if self.faults.silent:
             await anyio.sleep(NO_ANSWER_S)
-        if self.faults.refused is not None:
-            await send_json(send, self.faults.refused, {})
+        if self.faults.refusal_status is not None:
+            await send_json(send, self.faults.refusal_status, {})
             return
         if path == TRANSACT and self.faults.late_s and self.tasks:
             self.tasks.start_soon(self.transact_later, body, self.faults.late_s)
@@ -245,7 +245,7 @@
         """Record an order and return the status; a test starts the servers, or not."""
         holder, fence = read_duty_headers(scope)
         spot = order.get("spot", False)
-        if spot and self.faults.dry:
+        if spot and self.faults.spot_unavailable:
             return 409
         kind = "spot" if spot else "standard"
         requested = order["service"], order["zone"], kind, order["desired"]
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -132,7 +132,7 @@
             await self.wait_until(lambda: self.node.app.ready)
 
     async def close(self) -> None:
-        self.store.faults.refused = 503
+        self.store.faults.refusal_status = 503
         await self.node.close()
         for replica in self.replicas:
             await replica.close()
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -24,7 +24,7 @@
 
     async def assign_zones(self) -> None:
         for replica in self.in_z2:
-            replica.say(READY, zone="z2")
+            replica.publish_row(READY, zone="z2")
         await self.wait_until(
             lambda: (
                 sum(item.zone == "z2" for item in self.node.driver.backends.values())
@@ -127,7 +127,7 @@
     services = [{"name": "lm", "engine": {"batchSlots": 8}, **cold}, {"name": "app"}]
     await fleet.configure(2, services=services)
     await fleet.evacuate()
-    fleet.engines[0].say(READY, coldLeftMs=30_000)
+    fleet.engines[0].publish_row(READY, coldLeftMs=30_000)
     await fleet.wait_until(lambda: fleet.node.driver.count_cold_servers() == 1)
     page = (await http.get(f"{fleet.node.metrics_server.url}/metrics")).text
     assert "godwit_zone_evacuated 1.0" in page
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -40,9 +40,9 @@
     monkeypatch.setattr("godwitmast.platform_api.feed.WAIT_S", 0.3)
     async with running(Fleet()) as fleet:
         servers: FeedFollower = fleet.node.followers[1]
-        fleet.store.faults.refused = 503
+        fleet.store.faults.refusal_status = 503
         await fleet.wait_until(lambda: servers.view.unreachable_since is not None)
         for replica in fleet.replicas:
             fleet.store.remove_server(replica.server_id)
-        fleet.store.faults.refused = None
+        fleet.store.faults.refusal_status = None
         await fleet.wait_until(lambda: not fleet.node.driver.listed_backends)
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -269,7 +269,9 @@
     async with http.stream("POST", url, headers=request_headers(**PROMPT)) as answer:
         async for _ in answer.aiter_raw():
             break
-    await fleet.wait_until(lambda: sum(engine.left for engine in fleet.engines) == 1)
+    await fleet.wait_until(
+        lambda: sum(engine.disconnects for engine in fleet.engines) == 1
+    )
     await fleet.wait_until(lambda: not fleet.node.app.exchanges)
 
 
@@ -398,7 +400,7 @@
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
     first, second = fleet.plain
-    first.say("draining")
+    first.publish_row("draining")
     await fleet.wait_until(lambda: fleet.node.driver.listed_backends["p1"].leaving)
     for _ in range(4):
         assert (await fleet.request(http, "/peek/1")).status_code == 200
@@ -440,7 +442,7 @@
     fleet: Fleet, http: httpx.AsyncClient, content: bytes
 ) -> None:
     fleet.store.put("servers", "odd", content)
-    fleet.plain[0].say("ready", coldLeftMs=5)
+    fleet.plain[0].publish_row("ready", coldLeftMs=5)
     fleet.store.put_server("late", {"service": "lm"} | json_of(fleet, "e1"))
     await fleet.wait_until(lambda: "late" in fleet.node.driver.listed_backends)
     assert fleet.node.driver.listed_backends.keys() == {"e1", "e2", "p1", "p2", "late"}
@@ -496,7 +498,7 @@
 async def test_unreachable_store_does_not_stop_requests(
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
-    fleet.store.faults.refused = 503
+    fleet.store.faults.refusal_status = 503
     await fleet.wait_until(
         lambda: fleet.node.followers[0].view.unreachable_since is not None
     )
@@ -507,13 +509,13 @@
 async def test_change_missing_from_the_history_is_read_from_a_snapshot(
     fleet: Fleet, http: httpx.AsyncClient
 ) -> None:
-    fleet.store.faults.refused = 503
+    fleet.store.faults.refusal_status = 503
     await fleet.wait_until(
         lambda: fleet.node.followers[0].view.unreachable_since is not None
     )
     fleet.store.put_config(config_of(7))
-    fleet.store.forget_history()
-    fleet.store.faults.refused = None
+    fleet.store.compact_history()
+    fleet.store.faults.refusal_status = None
     await fleet.wait_until(lambda: fleet.node.config_version() == 7)
 
 
@@ -608,13 +610,13 @@
     assert order.fence >= 1
     for replica in (ReplicaStandin(fleet.store, f"s{n}", "lm") for n in (1, 2)):
         replica.server = fleet.engines[0].server
-        replica.say("ready", spot=True)
+        replica.publish_row("ready", spot=True)
     await fleet.wait_until(lambda: len(fleet.store.orders) == 2)
     assert fleet.store.orders[1][2:] == ("lm", "z1", "standard", 1)
 
 
 async def test_unavailable_order_is_not_repeated_each_round(fleet: Fleet) -> None:
-    fleet.store.faults.dry = True
+    fleet.store.faults.spot_unavailable = True
     await fleet.configure(2, services=SCALED)
     await fleet.wait_until(lambda: ORDER_SERVERS in fleet.store.calls)
     await anyio.sleep(2 * ROUND_S)
