--- a/src/godwitmast/platform/daemon.py
+++ b/src/godwitmast/platform/daemon.py
@@ -249,7 +249,7 @@
             candidates_only=lambda: self.relay.machine.relay_available,
         )
         self.add_metrics(self.app.metrics.registry)
-        self.callers = HttpServer(
+        self.caller_server = HttpServer(
             self.serve_caller,
             settings.listen.front,
             grace_s=bounds.grace_s * REQUESTS_GRACE_SHARE - BALANCER_WAIT_S,
@@ -313,7 +313,7 @@
         for follower in self.followers:
             await follower.start(tasks)
         tasks.start_soon(self.start_duties, tasks)
-        for server in (self.callers, self.readiness_server, self.metrics_server):
+        for server in (self.caller_server, self.readiness_server, self.metrics_server):
             await server.start(tasks)
         tasks.start_soon(self.poll_settings)
         log_event("node_started", node=self.settings.node, zone=self.settings.zone)
@@ -344,7 +344,7 @@
         async with anyio.create_task_group() as closing_tasks:
             closing_tasks.start_soon(self.lease.close)
             await anyio.sleep(BALANCER_WAIT_S)
-        await self.callers.close()
+        await self.caller_server.close()
         await self.relay.close()
         await self.writer.close()
         for follower in self.followers:
@@ -382,7 +382,7 @@
         self.frontend.apply_catalog(catalog)
         self.app.config_changed(catalog.config)
         limits = catalog.limits
-        self.callers.set_connection_limits(
+        self.caller_server.set_connection_limits(
             limits.max_header_bytes, limits.idle_timeout_ms / 1000
         )
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -144,7 +144,7 @@
 
     @property
     def url(self) -> str:
-        return self.node.callers.url
+        return self.node.caller_server.url
 
     async def wait_until(self, holds: Any) -> None:
         with anyio.fail_after(READY_WITHIN_S):
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -318,7 +318,9 @@
         f"Authorization: Bearer {KEY}\r\nTransfer-Encoding: chunked\r\n"
         f"Content-Length: 6\r\nConnection: close\r\n\r\n0\r\n\r\n{hidden}"
     )
-    async with await anyio.connect_tcp("127.0.0.1", fleet.node.callers.port) as stream:
+    async with await anyio.connect_tcp(
+        "127.0.0.1", fleet.node.caller_server.port
+    ) as stream:
         await stream.send(first.encode())
         with anyio.move_on_after(5), suppress(anyio.EndOfStream):
             while await stream.receive():
@@ -340,7 +342,9 @@
         f"Authorization: Bearer {KEY}\r\nDeadline-Ms: 5000\r\n"
         "Content-Length: 11\r\n\r\nten "
     )
-    async with await anyio.connect_tcp("127.0.0.1", fleet.node.callers.port) as stream:
+    async with await anyio.connect_tcp(
+        "127.0.0.1", fleet.node.caller_server.port
+    ) as stream:
         await stream.send(request.encode())
         with anyio.fail_after(5):
             answer = await stream.receive()
@@ -354,7 +358,9 @@
         f"Authorization: Bearer {KEY}\r\n\r\n"
         for n in (1, 2)
     )
-    async with await anyio.connect_tcp("127.0.0.1", fleet.node.callers.port) as stream:
+    async with await anyio.connect_tcp(
+        "127.0.0.1", fleet.node.caller_server.port
+    ) as stream:
         await stream.send(request.encode())
         got = b""
         with anyio.fail_after(10):
@@ -547,7 +553,7 @@
     """
     async with running(Fleet()) as fleet:
         grace_s = fleet.node.settings.bounds.grace_s
-        cut_at = BALANCER_WAIT_S + fleet.node.callers.grace_s
+        cut_at = BALANCER_WAIT_S + fleet.node.caller_server.grace_s
         assert grace_s * 5 / 6 < cut_at
         assert cut_at + fleet.node.writer.timing.stop_s < grace_s * 0.95
 
@@ -579,7 +585,7 @@
                 text += piece
         assert text.count("data:") == 5
         with anyio.fail_after(10):
-            await fleet.node.callers.stopped.wait()
+            await fleet.node.caller_server.stopped.wait()
 
 
 SCALE = {
--- a/tests/test_standin_fleet.py
+++ b/tests/test_standin_fleet.py
@@ -63,7 +63,7 @@
             with anyio.fail_after(READY_WITHIN_S):
                 while not node.app.ready:
                     await anyio.sleep(0.01)
-            url = node.callers.url
+            url = node.caller_server.url
             stream = await http.post(f"{url}/chat/1", headers=request_headers(**PROMPT))
             assert stream.text.count("data:") == 7
             plain = await http.get(f"{url}/peek/1", headers=request_headers("a2"))
