--- a/src/godwitmast/admission/answer_lengths.py
+++ b/src/godwitmast/admission/answer_lengths.py
@@ -1,7 +1,7 @@
 """Estimates of answer lengths, by team and class.
 
 Most callers do not state how long an answer will be, and lengths range from short
-questions to long drafts. Charged at `max_tokens`, teams that leave it unset would seem
+replies to long documents. Charged at `max_tokens`, teams that leave it unset would seem
 to use fifty times what they do; charged only at the end, a team could start a flood of
 long answers before the first one counts. So a running quantile for each team and class
 is charged at the start, and corrected as tokens are written.
--- a/src/godwitmast/admission/class_queue.py
+++ b/src/godwitmast/admission/class_queue.py
@@ -16,7 +16,11 @@
 
 @dataclass(slots=True)
 class Job:
-    """A queued or running request, with its charge and its state."""
+    """A queued or running request, with its charge and its state.
+
+    `started_by_guard` is true once the starvation guard has started the request; it is
+    then no longer preempted.
+    """
 
     request: RequestSpec
     start_deadline: StartDeadline
@@ -28,14 +32,14 @@
     starts: int = 0
     preemptions: int = 0
     is_charged: bool = False
-    guarded: bool = False
+    started_by_guard: bool = False
 
     @property
     def has_run(self) -> bool:
         return self.starts > 0
 
     @property
-    def expiry_key(self) -> tuple[float, RequestId]:
+    def latest_start_key(self) -> tuple[float, RequestId]:
         return (self.start_deadline.latest_start, self.request.request_id)
 
 
@@ -75,6 +79,7 @@
 
     @property
     def hold_s(self) -> float | None:
+        """Mean time for which a request occupies a place; None if not measured."""
         return self.service_times.hold.value
 
     @property
@@ -85,13 +90,13 @@
         """Queue a request that never ran."""
         self.reset_turns_if_empty(now)
         self.fair.add(job.request, weight)
-        self.urgency.add(job.expiry_key)
+        self.urgency.add(job.latest_start_key)
 
     def add_resumed(self, job: Job, now: float) -> None:
         """Queue a request that ran before, ahead of those that never ran."""
         self.reset_turns_if_empty(now)
         self.resumed[job.request.request_id] = job
-        self.urgency.add(job.expiry_key)
+        self.urgency.add(job.latest_start_key)
 
     def reset_turns_if_empty(self, now: float) -> None:
         if not self.waiting:
@@ -105,6 +110,6 @@
 
     def remove(self, job: Job) -> None:
         """Remove a waiting request."""
-        self.urgency.remove(job.expiry_key)
+        self.urgency.remove(job.latest_start_key)
         if self.resumed.pop(job.request.request_id, None) is None:
             self.fair.remove(job.request)
--- a/src/godwitmast/admission/controller.py
+++ b/src/godwitmast/admission/controller.py
@@ -177,12 +177,14 @@
             RefusalCode.DEADLINE if job.start_deadline.by_caller else RefusalCode.SHED
         )
         weight = self.team_config(request.team).weight
-        team = queue.fair.team(request.team, weight)
+        team_queue = queue.fair.team(request.team, weight)
         rate = (
             self.pools[request.pool].class_rate(queue, now) or DEFAULT_START_RATE_PER_S
         )
         share = weight / max(weight, queue.fair.active_weight)
-        retry_after_s = next_retry_after(team, rate * share, late_s, now, self.random)
+        retry_after_s = next_retry_after(
+            team_queue, rate * share, late_s, now, self.random
+        )
         return build_refusal(request, code, retry_after_s)
 
     def pop_next(self, pool_name: str, now: float) -> RequestSpec | None:
@@ -190,9 +192,11 @@
         pool = self.pools.get(pool_name)
         if pool is None or not pool.waiting:
             return None
-        queue, guarded = choose_class((q for q in pool.by_tier if q.waiting), now)
+        queue, started_by_guard = choose_class(
+            (q for q in pool.by_tier if q.waiting), now
+        )
         job = self.jobs[queue.peek()]
-        job.guarded = job.guarded or guarded
+        job.started_by_guard = job.started_by_guard or started_by_guard
         return self.start_next(queue, now)
 
     def start_next(self, queue: ClassQueue, now: float) -> RequestSpec:
--- a/src/godwitmast/admission/deadlines.py
+++ b/src/godwitmast/admission/deadlines.py
@@ -80,7 +80,11 @@
     tokens: float,
     now: float,
 ) -> StartDeadline:
-    """Return the latest start that meets the class's targets and the deadline."""
+    """Return the latest start that meets the class's targets and the deadline.
+
+    It may be too late for them, because it is never less than MIN_WAIT_SHARE of the
+    target after arrival, or of the remaining deadline after `now`.
+    """
     starts = []
     if target.first_token_s is not None:
         starts.append(
--- a/src/godwitmast/admission/fairness.py
+++ b/src/godwitmast/admission/fairness.py
@@ -63,10 +63,10 @@
         self.virtual_time = 0.0
 
     def team(self, name: TeamName, weight: float) -> TeamQueue:
-        """Return the team's queue; update its weight only while it is empty.
+        """Return the team's queue, which is created or given the new weight if needed.
 
-        The sorted lists hold keys computed with the old weight, so that a new weight
-        applies once the team has no request waiting.
+        While requests wait, the weight stays, because the sorted lists hold keys
+        computed with it; a new weight applies once the team has no request waiting.
         """
         team_queue = self.teams.get(name)
         if team_queue is None:
@@ -91,8 +91,8 @@
 
     def peek(self) -> RequestSpec:
         """Return the oldest request of the team with the lowest counter."""
-        team = self.teams[self.by_counter[0][1]]
-        return next(iter(team.waiting.values()))
+        team_queue = self.teams[self.by_counter[0][1]]
+        return next(iter(team_queue.waiting.values()))
 
     def advance_virtual_time(self) -> None:
         """Raise the virtual time to the lowest counter of the teams that wait."""
--- a/src/godwitmast/admission/preemption.py
+++ b/src/godwitmast/admission/preemption.py
@@ -1,16 +1,17 @@
 """Preemption of running requests, so that a higher tier meets its target.
 
-It answers quick questions that arrive while long drafts occupy every place. Places
-become free only as fast as drafts end, so that questions wait for tens of seconds and
-miss a target of one second, although the drafts have minutes to spare. The draft that
-sent its first token last is cancelled and later resumed after its last token; the cost
-is a second prefill of its prompt. A draft without a token yet may still wait inside its
-engine, where cancelling it would free no place in the batch.
+It answers short requests of a high tier that arrive while long answers of a low tier
+occupy every place. Places become free only as fast as long answers end, so that the
+short requests wait for tens of seconds and miss a target of one second, although the
+long answers have minutes to spare. The long answer that sent its first token last is
+cancelled and later resumed after its last token; the cost is a second prefill of its
+prompt. A request without a token yet may still wait inside its engine, where cancelling
+it would free no place in the batch.
 
 Only a request that would otherwise soon be refused may interrupt another, and only one
-of a lower tier. The number of preemptions per request is bounded: otherwise one draft
-could be interrupted by every question of an evening, with a hundred prefills and no
-result.
+of a lower tier. The number of preemptions per request is bounded: otherwise one long
+answer could be interrupted by every short request of several hours, with a hundred
+prefills and no result.
 
 Entries share servers without seeing each other's queues. An entry may have no victim
 because all places are held by lower tiers of other entries. It then sends its urgent
@@ -105,7 +106,7 @@
     """
     request = job.request
     return (
-        not job.guarded
+        not job.started_by_guard
         and request.idempotent
         and request.resumable
         and job.preemptions < MAX_PREEMPTIONS
--- a/src/godwitmast/admission/shedding.py
+++ b/src/godwitmast/admission/shedding.py
@@ -2,12 +2,12 @@
 
 It bounds memory in a flood. Targets bound most queues, but a class with a target of
 minutes can have thousands of requests waiting. If the newest request were refused,
-whoever filled the queue first would keep all others out, and a flood of drafts would
-cause questions to be refused. So the lowest tier is shed first, and in it the team with
-the most waiting requests per weight: longest queue drop (Suter et al., "Buffer
-Management Schemes for Supporting TCP in Gigabit Routers with Per-flow Queueing", 1999),
-which does not affect a team within its share. That team's newest request is refused, as
-it has waited least.
+whoever filled the queue first would keep all others out, and a flood of requests of a
+low tier would cause those of a high tier to be refused. So the lowest tier is shed
+first, and in it the team with the most waiting requests per weight: longest queue drop
+(Suter et al., "Buffer Management Schemes for Supporting TCP in Gigabit Routers with
+Per-flow Queueing", 1999), which does not affect a team within its share. That team's
+newest request is refused, as it has waited least.
 """
 
 from collections.abc import Iterable
--- a/src/godwitmast/admission/turns.py
+++ b/src/godwitmast/admission/turns.py
@@ -1,12 +1,12 @@
 """Choice of a pool's next class: strict priority by tier, with a starvation guard.
 
 The guard answers a burst of a high tier that outlasts the targets of every lower one,
-such as an evening of questions while a long draft waits: under strict priority the
-draft never starts. Each waiting class earns `turn_share` of a turn with each dispatch,
-and starts a request once it has a whole turn, so that the higher tiers lose that share
-of the turns and no more. A class without a turn for AGING_THRESHOLD_S goes next as
-well: on a pool that starts a request every few seconds, a fiftieth of the turns is too
-seldom.
+such as hours of short requests of a high tier while a long answer of a low tier waits:
+under strict priority the long answer never starts. Each waiting class earns
+`turn_share` of a turn with each dispatch, and starts a request once it has a whole
+turn, so that the higher tiers lose that share of the turns and no more. A class without
+a turn for AGING_THRESHOLD_S goes next as well: on a pool that starts a request every
+few seconds, a fiftieth of the turns is too seldom.
 
 The guard only orders waiting requests; it neither sheds nor preempts. A request that it
 started is not preempted either, because that would undo the turn at once.
@@ -40,7 +40,9 @@
     def turn_share(self) -> float: ...
 
     @property
-    def hold_s(self) -> float | None: ...
+    def hold_s(self) -> float | None:
+        """Mean time for which a request occupies a place; None if not measured."""
+        ...
 
     @property
     def turns(self) -> TurnCredit: ...
@@ -50,10 +52,14 @@
 
 
 class Turn(NamedTuple, Generic[W]):
-    """The class that goes next; `guarded` if ahead of a higher tier that waits."""
+    """The class that goes next.
+
+    `started_by_guard` is true if the starvation guard put it ahead of a higher tier
+    that waits.
+    """
 
     queue: W
-    guarded: bool
+    started_by_guard: bool
 
 
 def choose_class(waiting: Iterable[W], now: float) -> Turn[W]:
@@ -86,8 +92,9 @@
 def cost_in_turns(lower: WaitingClass, higher: WaitingClass) -> float:
     """Return how many turns of the higher class a turn of the lower one costs.
 
-    A draft occupies its place as long as ten questions. Counted as one turn each, a
-    tenth of the turns would be more than half of the places.
+    A long answer of a low tier occupies its place as long as ten short requests of a
+    high tier. Counted as one turn each, a tenth of the turns would be more than half of
+    the places.
     """
     if not lower.hold_s or not higher.hold_s:
         return 1.0
--- a/src/godwitmast/capacity/demand.py
+++ b/src/godwitmast/capacity/demand.py
@@ -141,7 +141,7 @@
                 )
 
     def demand(
-        self, pool: PoolName, document: Document, intention: CapacityPolicy
+        self, pool: PoolName, document: Document, policy: CapacityPolicy
     ) -> list[ClassDemand]:
         """Return the pool's demand by class, between the last two rounds."""
         demands = []
@@ -149,9 +149,9 @@
             target = document.classes.get(key.class_name)
             if key.pool != pool or target is None or self.interval_s <= 0:
                 continue
-            answer_s = self.mean_answer_tokens(key) / intention.output_tokens_per_s
+            answer_s = self.mean_answer_tokens(key) / policy.output_tokens_per_s
             work = (
-                increment.prompt_tokens / intention.prompt_tokens_per_s
+                increment.prompt_tokens / policy.prompt_tokens_per_s
                 + increment.requests * answer_s
             )
             backlog = self.waiting_requests(key) * answer_s
--- a/src/godwitmast/capacity/duty.py
+++ b/src/godwitmast/capacity/duty.py
@@ -154,41 +154,37 @@
         config = self.follower.current
         if config is None:
             return
-        for pool, intention in config.document.capacity.items():
-            view = self.make_view(
-                PoolName(pool), config.document, intention, fleet, now
-            )
-            planner = self.planner(pool, config.document, intention)
+        for pool, policy in config.document.capacity.items():
+            view = self.make_view(PoolName(pool), config.document, policy, fleet, now)
+            planner = self.planner(pool, config.document, policy)
             for decision in planner.step(view):
                 if not await self.carry_out(guard, planner, decision):
                     return
 
-    def planner(
-        self, pool: str, document: Document, intention: CapacityPolicy
-    ) -> Planner:
-        zones = intention.zones or frozenset(
+    def planner(self, pool: str, document: Document, policy: CapacityPolicy) -> Planner:
+        zones = policy.zones or frozenset(
             item.zone for item in document.backends.values() if pool in item.pools
         )
         names = [ZoneName(zone) for zone in sorted(zones)]
         planner = self.planners.get(pool)
         if planner is None:
-            planner = Planner(PoolName(pool), names, intention)
+            planner = Planner(PoolName(pool), names, policy)
             self.planners[pool] = planner
-        planner.update(names, intention)
+        planner.update(names, policy)
         return planner
 
     def make_view(
         self,
         pool: PoolName,
         document: Document,
-        intention: CapacityPolicy,
+        policy: CapacityPolicy,
         fleet: list[FleetServer],
         now: float,
     ) -> PlanInput:
         wall = self.clock.wall()
         return PlanInput(
             now,
-            self.demand.demand(pool, document, intention),
+            self.demand.demand(pool, document, policy),
             self.book.list_servers(pool, fleet, document.backends, wall),
             self.demand.age_s(now),
             wall,
@@ -319,10 +315,10 @@
         )
         for server in fleet:
             self.metrics.servers.labels(server.kind, server.state).inc()
-            intention = next(
+            policy = next(
                 (capacity[p] for p in server.pools if p in capacity),
                 CapacityPolicy(),
             )
             cheap = server.kind == "cheap"
-            price = intention.cheap_per_hour if cheap else intention.on_demand_per_hour
+            price = policy.cheap_per_hour if cheap else policy.on_demand_per_hour
             self.metrics.spend.labels(server.kind).inc(price * hours)
--- a/src/godwitmast/capacity/fleet.py
+++ b/src/godwitmast/capacity/fleet.py
@@ -41,7 +41,7 @@
 
 
 def dump_fleet(row: FleetRow) -> dict[str, Json]:
-    """Return the values of both rows, which are written in one transaction."""
+    """Return the head row and the servers row, which one transaction writes."""
     servers = {name: server._asdict() for name, server in row.servers.items()}
     return {
         HEAD_KEY: {"number": row.number},
@@ -58,7 +58,11 @@
 def merge_backends(
     configured: dict[str, Backend], fleet: FleetRow
 ) -> dict[str, Backend]:
-    """Return configured and ordered servers; the configuration wins on equal names."""
+    """Return the servers of `configured` and the ordered ones.
+
+    `configured` holds the servers of the configuration and the listed ones; it wins on
+    equal names.
+    """
     ordered = {
         name: Backend(
             server.url,
--- a/src/godwitmast/capacity/planner.py
+++ b/src/godwitmast/capacity/planner.py
@@ -67,12 +67,12 @@
     """Planner for one pool; it computes a new plan each round from the latest view."""
 
     def __init__(
-        self, pool: PoolName, zones: list[ZoneName], intention: CapacityPolicy
+        self, pool: PoolName, zones: list[ZoneName], policy: CapacityPolicy
     ) -> None:
         self.pool = pool
         self.zones = zones
-        self.intention = intention
-        self.forecast = Forecast(intention.start_s)
+        self.policy = policy
+        self.forecast = Forecast(policy.start_s)
         self.recent_totals: list[tuple[float, int]] = []
         self.refused_until: dict[ZoneName, float] = {}
         self.started_at: float | None = None
@@ -80,14 +80,18 @@
         self.target_mix = Mix(0, 0)
         self.peak_mix = Mix(0, 0)
 
-    def update(self, zones: list[ZoneName], intention: CapacityPolicy) -> None:
-        """Apply new zones and intention; the forecast keeps its state."""
+    def update(self, zones: list[ZoneName], policy: CapacityPolicy) -> None:
+        """Apply new zones and a new policy; the forecast keeps its state."""
         self.zones = zones
-        self.intention = intention
-        self.forecast.lead_s = intention.start_s
+        self.policy = policy
+        self.forecast.lead_s = policy.start_s
 
     def record_cheap_refusal(self, zone: ZoneName, now: float) -> None:
-        """Record that a zone had no cheap server; other zones are then asked first."""
+        """Record that a zone had no cheap server.
+
+        It is not asked for one again for REFUSAL_BACKOFF_S. While all zones back off,
+        an on-demand server is ordered instead, within the budget.
+        """
         self.refused_until[zone] = now + REFUSAL_BACKOFF_S
 
     def step(self, view: PlanInput) -> list[Decision]:
@@ -116,8 +120,8 @@
         ]
 
     def mix_for(self, total: int, high_work: float) -> Mix:
-        mix = split_by_kind(total, high_work, len(self.zones), self.intention)
-        return cut_to_budget(mix, self.intention)
+        mix = split_by_kind(total, high_work, len(self.zones), self.policy)
+        return cut_to_budget(mix, self.policy)
 
     def forecast_total(self, view: PlanInput) -> int:
         """Update the forecast, and return how many servers it requires."""
@@ -125,11 +129,11 @@
             self.forecast.observe(demand.class_name, demand.work, view.now, view.wall)
         work = sum(self.forecast.predict(d.class_name, view.wall) for d in view.demand)
         backlog = sum(d.backlog for d in view.demand)
-        return servers_needed(work, backlog, self.intention)
+        return servers_needed(work, backlog, self.policy)
 
     def forecast_high_tiers(self, view: PlanInput) -> float:
         """Return the forecast work of the tiers that a zone loss must not affect."""
-        tiers = sorted({d.tier for d in view.demand})[: self.intention.high_tiers]
+        tiers = sorted({d.tier for d in view.demand})[: self.policy.high_tiers]
         return sum(
             self.forecast.predict(d.class_name, view.wall)
             for d in view.demand
@@ -186,7 +190,7 @@
 
     def has_excess_on_demand(self, by_kind: Counter[str]) -> bool:
         """Return whether there are more on-demand servers than the plan requires."""
-        allowed = max(self.peak_mix.on_demand, self.intention.min_on_demand)
+        allowed = max(self.peak_mix.on_demand, self.policy.min_on_demand)
         return by_kind["on_demand"] > allowed
 
     def choose_cheap_zone(
@@ -222,14 +226,14 @@
         return Order(self.pool, zone, "on_demand", reason)
 
     def is_affordable(self, by_kind: Counter[str]) -> bool:
-        intention = self.intention
-        if intention.budget_per_hour is None:
+        policy = self.policy
+        if policy.budget_per_hour is None:
             return True
-        spend = (by_kind["on_demand"] + 1) * intention.on_demand_per_hour + by_kind[
+        spend = (by_kind["on_demand"] + 1) * policy.on_demand_per_hour + by_kind[
             "cheap"
-        ] * intention.cheap_per_hour
-        below_minimum = by_kind["on_demand"] < intention.min_on_demand
-        return below_minimum or spend <= intention.budget_per_hour
+        ] * policy.cheap_per_hour
+        below_minimum = by_kind["on_demand"] < policy.min_on_demand
+        return below_minimum or spend <= policy.budget_per_hour
 
     def plan_drain(self, view: PlanInput) -> list[Decision]:
         """Drain one server if no plan within SHRINK_DELAY_S needed it."""
--- a/src/godwitmast/capacity/sizing.py
+++ b/src/godwitmast/capacity/sizing.py
@@ -33,14 +33,14 @@
         return self.on_demand + self.cheap
 
 
-def servers_needed(work: float, backlog: float, intention: CapacityPolicy) -> int:
-    """Return how many servers the work needs, within the intention's bounds."""
+def servers_needed(work: float, backlog: float, policy: CapacityPolicy) -> int:
+    """Return how many servers the work needs, within the policy's bounds."""
     needed = math.ceil((work + backlog / BACKLOG_CLEAR_S) / PLANNED_UTILISATION - 1e-9)
-    return min(max(needed, intention.min_servers), intention.max_servers)
+    return min(max(needed, policy.min_servers), policy.max_servers)
 
 
 def split_by_kind(
-    total: int, high_work: float, zones: int, intention: CapacityPolicy
+    total: int, high_work: float, zones: int, policy: CapacityPolicy
 ) -> Mix:
     """Split servers by kind, with as many cheap ones as a zone loss permits.
 
@@ -49,7 +49,7 @@
     takes to start. So the remaining servers must carry the forecast of the high tiers
     before any replacement has started.
     """
-    cheap = round(total * intention.cheap_share)
+    cheap = round(total * policy.cheap_share)
     while cheap > 0:
         survivors = total - math.ceil(cheap / max(1, zones))
         if survivors * HIGH_TIER_UTILISATION >= high_work:
@@ -58,19 +58,20 @@
     return Mix(total - cheap, cheap)
 
 
-def cut_to_budget(mix: Mix, intention: CapacityPolicy) -> Mix:
-    """Return the mix reduced to the budget, on-demand servers first.
+def cut_to_budget(mix: Mix, policy: CapacityPolicy) -> Mix:
+    """Return the mix reduced to the budget.
 
-    It never goes below `min_servers`.
+    On-demand servers are removed first, down to `min_on_demand`, then cheap ones. The
+    total never goes below `min_servers`.
     """
-    if intention.budget_per_hour is None:
+    if policy.budget_per_hour is None:
         return mix
     on_demand, cheap = mix
-    while on_demand + cheap > intention.min_servers:
-        spend = hourly_price(Mix(on_demand, cheap), intention)
-        if spend <= intention.budget_per_hour:
+    while on_demand + cheap > policy.min_servers:
+        spend = hourly_price(Mix(on_demand, cheap), policy)
+        if spend <= policy.budget_per_hour:
             break
-        if on_demand > intention.min_on_demand:
+        if on_demand > policy.min_on_demand:
             on_demand -= 1
         elif cheap:
             cheap -= 1
@@ -79,12 +80,9 @@
     return Mix(on_demand, cheap)
 
 
-def hourly_price(mix: Mix, intention: CapacityPolicy) -> float:
+def hourly_price(mix: Mix, policy: CapacityPolicy) -> float:
     """Return the price of the mix per hour."""
-    return (
-        mix.on_demand * intention.on_demand_per_hour
-        + mix.cheap * intention.cheap_per_hour
-    )
+    return mix.on_demand * policy.on_demand_per_hour + mix.cheap * policy.cheap_per_hour
 
 
 def emptiest_zone(
--- a/src/godwitmast/dispatch/backends.py
+++ b/src/godwitmast/dispatch/backends.py
@@ -23,7 +23,7 @@
     SLOW_FACTOR,
     Condition,
     Health,
-    may_eject,
+    may_eject_as_slow,
 )
 from godwitmast.dispatch.limits import ServerLimit
 from godwitmast.dispatch.messages import BackendSpec, LoadReport, RequestSpec
@@ -608,7 +608,8 @@
         if not health.is_in_rotation() or not health.record_slow():
             return False
         if not all(
-            may_eject(c.pool.slow_count, c.pool.server_count) for c in state.cells
+            may_eject_as_slow(c.pool.slow_count, c.pool.server_count)
+            for c in state.cells
         ):
             return False
         self.eject(state, Condition.SLOW, now)
--- a/src/godwitmast/dispatch/health.py
+++ b/src/godwitmast/dispatch/health.py
@@ -10,9 +10,10 @@
 - A server that is ejected as slow must be `SLOW_FACTOR` times slower than the pool's
   median, and no more than `MAX_SLOW_SHARE` of a pool is ejected as slow: if more are
   slow, that is the pool's normal speed, and the rest could not carry the load.
-- After a time that doubles with each failure in a row, with jitter so that entries do
-  not return at once, one request at a time probes the server. Envoy's outlier detection
-  and the half-open state of circuit breakers work alike.
+- After a time that doubles with each ejection, with jitter so that entries do not probe
+  at the same time, one request at a time probes the server. Each complete answer of a
+  server in rotation lowers its count of ejections by one. Envoy's outlier detection and
+  the half-open state of circuit breakers work alike.
 """
 
 import random
@@ -58,7 +59,7 @@
         return self.condition is not Condition.IN and now >= self.ejected_until
 
     def eject(self, condition: Condition, now: float, rng: random.Random) -> None:
-        """Eject the server, for longer each time in a row."""
+        """Eject the server, for a time that doubles with each counted ejection."""
         first = FIRST_EJECTION_S[condition.value]
         seconds = min(MAX_EJECTION_S, first * 2.0**self.ejection_count)
         self.ejection_count = min(self.ejection_count + 1, 10)
@@ -90,6 +91,6 @@
             self.ejection_count = max(0, self.ejection_count - 1)
 
 
-def may_eject(ejected: int, servers: int) -> bool:
+def may_eject_as_slow(ejected: int, servers: int) -> bool:
     """Return whether one more server of a pool may be ejected as slow."""
     return servers > 1 and ejected + 1 <= max(1, int(servers * MAX_SLOW_SHARE))
--- a/src/godwitmast/dispatch/limits.py
+++ b/src/godwitmast/dispatch/limits.py
@@ -3,8 +3,8 @@
 Load pattern: a burst, or long prompts among short ones. An engine accepts whatever it
 is sent; above some number of sequences each of its steps takes too long, and every
 stream on it exceeds its inter-token gap at the same time. Requests that wait inside an
-engine can no longer be reordered or moved, so that a burst of drafts would run before
-the next question.
+engine can no longer be reordered or moved, so that a burst of long answers of a low
+tier would run before the next short request of a high tier.
 
 The limit counts all requests on the server: our own, and other entries' according to
 its load report. It follows the measured inter-token gap, window by window:
@@ -151,6 +151,6 @@
         return self.value * DECAY_FACTOR
 
     def reset(self) -> None:
-        """Lower the limit of a server that is readmitted, unless it is fixed."""
+        """Set the limit to READMISSION_LIMIT on readmission, unless it is fixed."""
         if not self.fixed:
             self.value = READMISSION_LIMIT
--- a/src/godwitmast/dispatch/placement.py
+++ b/src/godwitmast/dispatch/placement.py
@@ -14,8 +14,8 @@
 strictest. The number of these engines follows the interactive requests' share of the
 prompt tokens and of the occupied batch slots ("places"); the other engines serve all
 other classes. Engines that may be reclaimed at short notice come last in the order: an
-interactive stream cannot be moved, and an interactive group whose engines come and go
-shares engines with long prompts at each change.
+interactive stream cannot be moved, and an interactive group whose engines are replaced
+often shares engines with long prompts at each change.
 
 Within its group a prompt goes to the engine with the fewest tokens to prefill before
 its first token: those of the prompt itself that are not cached there, those that this
@@ -93,7 +93,7 @@
 MAX_TRACKED_PARTS = 4096
 
 MIN_COPY_TOKENS = 256.0
-"""Fewer tokens than this are prefilled faster than a copy starts."""
+"""Fewer tokens than this are prefilled faster than a copy of the KV cache starts."""
 
 NEW_MEMBER_S = 20.0
 """How long an engine counts as new in its group: the parts that now rank it first are
@@ -294,7 +294,7 @@
     def choose(
         self,
         prompt: Prompt,
-        members: Collection[BackendId],
+        in_rotation: Collection[BackendId],
         available: Sequence[Engine],
         zone: ZoneName,
         now: float,
@@ -302,10 +302,10 @@
     ) -> BackendId | None:
         """Return the engine of `available` for a prompt, in its group if possible.
 
-        `members` are all engines in rotation, with room or not: groups and ranks must
-        be the same for routers that see different engines as full.
+        `in_rotation` holds all engines in rotation, with room or not: groups and ranks
+        must be the same for routers that see different engines as full.
         """
-        group = self.group_for(prompt, members, load)
+        group = self.group_for(prompt, in_rotation, load)
         self.update_membership(prompt, group, now)
         grouped = set(group)
         inside = [engine for engine in available if engine.backend_id in grouped]
@@ -313,7 +313,7 @@
         penalties: Mapping[BackendId, float] = {}
         if self.is_interactive(prompt):
             candidates = available
-            penalties = self.overflow_penalties(group, members)
+            penalties = self.overflow_penalties(group, in_rotation)
         preferred = highest_ranked(affinity_key(prompt), group)
         best = min(
             candidates,
@@ -326,7 +326,7 @@
         return best.backend_id if best else None
 
     def overflow_penalties(
-        self, group: Sequence[BackendId], members: Collection[BackendId]
+        self, group: Sequence[BackendId], in_rotation: Collection[BackendId]
     ) -> dict[BackendId, float]:
         """Return the additional cost of each engine outside the interactive group.
 
@@ -337,7 +337,7 @@
         the same one, and long prompts, whose cost includes the requests that run there,
         avoid it.
         """
-        rest = sorted(set(members) - set(group), key=self.sort_key)
+        rest = sorted(set(in_rotation) - set(group), key=self.sort_key)
         return {
             engine: OVERFLOW_TOKENS + OVERFLOW_STEP_TOKENS * position
             for position, engine in enumerate(rest)
@@ -352,7 +352,7 @@
         now: float,
     ) -> float:
         """Return the cost of an engine for a prompt, in tokens to prefill before its
-        first one."""
+        first output token."""
         shared = prompt.parts[:-1]
         prefill_cost = 0.0
         if engine.backend_id != preferred and shared:
@@ -374,11 +374,11 @@
         self,
         prompt: Prompt,
         chosen: BackendId,
-        members: Collection[BackendId],
+        in_rotation: Collection[BackendId],
         now: float,
     ) -> BackendId | None:
-        """Return the engine from which `chosen` may copy a prompt's shared parts, if
-        there is one.
+        """Return the engine from which `chosen` may copy the KV cache of a prompt's
+        shared parts, if there is one.
 
         Load pattern: bursts that send prompts past the engine that has their prefix
         cached, and engines that join or leave, so that prefixes rank another engine
@@ -390,12 +390,12 @@
         if sum(part.tokens for part in missing) < MIN_COPY_TOKENS:
             return None
         deepest = shared[-1]
-        others = [name for name in members if name != chosen]
+        others = [name for name in in_rotation if name != chosen]
         holders = [name for name in others if self.holds_part(name, deepest, now)]
         if holders:
             return max(holders, key=lambda name: self.sent_at[(name, deepest.part_id)])
         last_group = self.member_since.get(self.is_interactive(prompt), {})
-        group = [name for name in last_group if name in members]
+        group = [name for name in last_group if name in in_rotation]
         preferred = highest_ranked(deepest.part_id, group)
         if preferred != chosen:
             return preferred
@@ -418,6 +418,8 @@
         return now - since.get(engine, now) < NEW_MEMBER_S
 
     def holds_part(self, backend_id: BackendId, part: PromptPart, now: float) -> bool:
+        """Return whether an engine is assumed to hold a part in its cache, because this
+        router sent the part there less than PART_RETENTION_S ago."""
         sent_at = self.sent_at.get((backend_id, part.part_id))
         return sent_at is not None and now - sent_at < PART_RETENTION_S
 
--- a/src/godwitmast/dispatch/retries.py
+++ b/src/godwitmast/dispatch/retries.py
@@ -114,10 +114,12 @@
 
 
 def backoff_s(failures: int, suspect: bool, rng: random.Random) -> float:
-    """Return how many seconds a failed request waits, with full jitter.
+    """Return how many seconds a failed request waits.
 
-    The wait after the first failure is at most `BASE_BACKOFF_S`: its server is out of
-    rotation by then, and a stream's caller notices each millisecond.
+    A suspect waits `SUSPECT_BACKOFF_S` times its failures; full jitter is for requests
+    that are no suspects. Their wait after the first failure is at most
+    `BASE_BACKOFF_S`: its server is out of rotation by then, and a stream's caller
+    notices each millisecond.
     """
     if suspect:
         return rng.uniform(*SUSPECT_BACKOFF_S) * failures
--- a/src/godwitmast/dispatch/timeouts.py
+++ b/src/godwitmast/dispatch/timeouts.py
@@ -9,7 +9,7 @@
 applies to the server: a token of any stream on it shows that all of them are being
 processed, as an engine steps them together. A time-out for each stream by itself would
 move healthy ones that wait behind some prompts. Each move spends from the retry budget,
-so that a period in which everything is slow does not turn into a storm of moves.
+so that a period in which everything is slow does not cause many retries at once.
 """
 
 import heapq
@@ -41,7 +41,9 @@
 
 
 def silence_limit_s(active: ActiveRequest, pace: PoolPace) -> float | None:
-    """Return how long the attempt may continue after its server's last token.
+    """Return how long the attempt may continue without a token from its server.
+
+    For an answer that does not stream it is the time from the attempt's start.
 
     None if nothing has been measured in the pool.
     """
--- a/src/godwitmast/dispatch/warmup.py
+++ b/src/godwitmast/dispatch/warmup.py
@@ -5,12 +5,12 @@
 under that load. Routers share no count of what they send, learn of the start at
 different times, and a partitioned router learns nothing more.
 
-So each router has periodic turns at a cold server, each of which allows one request.
-Their rate is the router's share of what the server can handle, and their phase is
-random. The sum at the server is then close to a Poisson process, whatever the routers'
-clocks show and whichever of them restart, and its rate is set so that more than the
-server can handle in one second is very unlikely. A turn that is not used soon expires:
-if turns were kept, many would be used at the same time.
+So each router has periodic turns at a cold server. A turn is a slot in time for sending
+one request to it. The rate of the turns is the router's share of what the server can
+handle, and their phase is random. The sum at the server is then close to a Poisson
+process, whatever the routers' clocks show and whichever of them restart, and its rate
+is set so that more than the server can handle in one second is very unlikely. A turn
+that is not used soon expires: if turns were kept, many would be used at the same time.
 """
 
 import math
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -10,7 +10,7 @@
 
 from godwitmast.dispatch.affinity import PrefixOrders, rendezvous, within_bound
 from godwitmast.dispatch.backends import BackendTable
-from godwitmast.dispatch.health import Condition, may_eject
+from godwitmast.dispatch.health import Condition, may_eject_as_slow
 from godwitmast.dispatch.limits import MIN_LIMIT, START_LIMIT, ServerLimit
 from godwitmast.dispatch.messages import BackendSpec, LoadReport, RequestSpec
 from godwitmast.dispatch.other_load import HALF_LIFE_S, OtherLoad
@@ -227,7 +227,7 @@
 def test_no_more_than_a_third_is_ejected_as_slow(
     out: int, servers: int, may: bool
 ) -> None:
-    assert may_eject(out, servers) is may
+    assert may_eject_as_slow(out, servers) is may
 
 
 def test_down_server_is_probed_by_one_request_whose_answer_readmits_it() -> None:
