--- a/src/godwitmast/background.py
+++ b/src/godwitmast/background.py
@@ -1,4 +1,4 @@
-"""Background loops that end before the resources they use are closed."""
+"""Background loops that `close` ends and awaits, before their resources are closed."""
 
 from collections.abc import Callable, Coroutine
 from typing import Any
@@ -10,7 +10,7 @@
 class BackgroundTasks:
     """A daemon's background loops, with explicit start and close.
 
-    `close` returns only when every loop has ended, so that the resources they use can
+    `close` cancels the loops and returns only when every one has ended, so that the resources they use can
     be closed after it. A loop that outlives its HTTP client makes another call on it,
     and the client's RuntimeError then fails a daemon during a clean shutdown.
     """
--- a/src/godwitmast/claims/keeper.py
+++ b/src/godwitmast/claims/keeper.py
@@ -1,4 +1,4 @@
-"""Driver of the claims: claims a call before it is sent, and retries its settlement."""
+"""Claims calls before they are sent, and retries the writes that settle them."""
 
 import hashlib
 import secrets
@@ -38,7 +38,7 @@
 
 
 class ClaimedCall:
-    """One arrival of a call that may run at most once, with its claim."""
+    """One arrival of a call that may run at most once, from before it is claimed."""
 
     def __init__(self, keeper: "ClaimKeeper", call: Call) -> None:
         self.keeper = keeper
@@ -93,6 +93,7 @@
         self.platform = platform.with_bulk_priority()
         self.clock = clock
         self.node = node
+        # Identifies one start of this process.
         self.incarnation = secrets.token_hex(6)
         self.attempts = 0
         self.pending: deque[Settlement] = deque()
--- a/src/godwitmast/claims/machine.py
+++ b/src/godwitmast/claims/machine.py
@@ -105,7 +105,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TableUnavailable:
-    """The table does not answer, so the call must not run.
+    """The claim cannot be made or read now, so the call must not run.
+
+    The table or the object store does not answer, or another attempt claimed and
+    released the call meanwhile.
 
     `may_stand` says that a claim may have been written even so; `release` reverts it.
     """
--- a/src/godwitmast/entry/driver.py
+++ b/src/godwitmast/entry/driver.py
@@ -108,7 +108,7 @@
         self.update_backends()
 
     def fleet_changed(self, fleet: FleetRow) -> None:
-        """Replace the servers that the capacity duty ordered."""
+        """Replace the servers that the capacity planner ordered."""
         self.fleet = fleet
         if self.router is not None:
             self.update_backends()
@@ -120,7 +120,10 @@
             self.update_backends()
 
     def set_evacuated_zones(self, zones: frozenset[ZoneName]) -> None:
-        """Send no new requests to the servers of these zones, and of no others."""
+        """Replace the zones that the platform evacuated; their servers get no new requests.
+
+        Zones evacuated by the configuration stay closed too.
+        """
         if zones == self.evacuated:
             return
         log_event("zones_evacuated", zones=",".join(sorted(zones)) or None)
@@ -139,7 +142,10 @@
         return len(self.router.backends.cold_servers) if self.router else 0
 
     def cold_turns_per_s(self) -> float:
-        """Return this entry's turns per second at a cold server of the tightest pool."""
+        """Return this entry's turns per second at a cold server, in the slowest pool.
+
+        That is the pool with the lowest warm-up rate.
+        """
         return self.router.backends.turns_per_s() if self.router else 0.0
 
     def update_backends(self) -> None:
@@ -169,7 +175,10 @@
         self.deliver_actions(self.policy.update_backends(specs, now))
 
     def is_evicted(self, name: str) -> bool:
-        """Return whether the platform evicts a server, rather than this fleet draining it."""
+        """Return whether an ordered server is leaving without having been drained.
+
+        Then the platform evicts it.
+        """
         server = self.fleet.servers.get(name)
         return server is not None and server.leaving and server.draining_since is None
 
@@ -178,7 +187,10 @@
         return {OPEN_REQUESTS_KEY: dict(Counter(self.pool_of_request.values()))}
 
     def leaving_backends(self) -> set[str]:
-        """Return the backend servers that configuration or fleet mark as leaving."""
+        """Return the backend servers marked as leaving, by any source but the peers.
+
+        The sources are the configuration, the list of the platform and the fleet.
+        """
         return {name for name, item in self.backends.items() if item.leaving}
 
     def mark_leaving(self, backend_id: BackendId, left_s: float) -> None:
@@ -193,7 +205,10 @@
             self.update_backends()
 
     def expire_leaving(self) -> None:
-        """Drop expired reports of peers: by then configuration or fleet hold them, if true."""
+        """Drop expired reports of peers.
+
+        By then configuration, platform's list or fleet hold those that are true.
+        """
         now = self.clock.now()
         kept = {name: at for name, at in self.leaving_until.items() if at > now}
         if len(kept) < len(self.leaving_until):
--- a/src/godwitmast/entry/exchange.py
+++ b/src/godwitmast/entry/exchange.py
@@ -1,8 +1,9 @@
 """One caller's request from admission to the last byte, with every attempt at it.
 
 The router decides when and where an attempt starts or is cancelled; an exchange sends
-it, forwards the answer and reports the result. A request that isn't idempotent is
-claimed before its first byte is sent, and isn't sent again once it may have run.
+it, forwards the answer and reports the result. A request that isn't idempotent and has
+an idempotency key is claimed before its first byte is sent; no request that isn't
+idempotent is sent again once it may have run.
 """
 
 from collections import Counter
@@ -147,6 +148,7 @@
     abort_reason: CancelReason | None = None
     error_code: str | None = None
     claimed: ClaimedCall | None = None
+    """This arrival of a call that may run at most once, claimed or not yet; else None."""
     may_have_run: bool = False
     may_have_run_before: bool = False
     streamed_events: list[bytes] = field(default_factory=list)
@@ -198,7 +200,7 @@
             pass
         if self.claimed is not None and self.may_have_run:
             self.send = send_nothing
-        # The server also reports a disconnect at the end of each complete exchange. If
+        # Hypercorn also reports a disconnect at the end of each complete exchange. If
         # that aborted it, a finished answer would count as abandoned and its tokens as
         # wasted.
         elif not self.answered:
--- a/src/godwitmast/http_server.py
+++ b/src/godwitmast/http_server.py
@@ -32,6 +32,7 @@
     tls: TlsContext | None = None
 
     def create_ssl_context(self) -> ssl.SSLContext | None:
+        """Override Hypercorn's method: return our context, with Hypercorn's ALPN list."""
         if self.tls is None:
             return None
         self.tls.context.set_alpn_protocols(self.alpn_protocols)
@@ -122,5 +123,8 @@
 
 
 def client_ssl(ca_file: str | None) -> ssl.SSLContext | bool:
-    """Return the `verify` argument of an HTTP client that trusts `ca_file`."""
+    """Return the `verify` argument of an HTTP client that trusts `ca_file`.
+
+    Without a `ca_file` the client does not verify the server's certificate.
+    """
     return ssl.create_default_context(cafile=ca_file) if ca_file else False
--- a/src/godwitmast/lease/machine.py
+++ b/src/godwitmast/lease/machine.py
@@ -1,4 +1,4 @@
-"""State machine of a lease in the platform's table that needs no trusted clock.
+"""State machine of a lease in the platform's table that needs no synchronised clocks.
 
 A lease has two rows. `lease/NAME` names the holder and the fencing token, and is
 written only when the holder changes, so that the holder's other transactions can check
@@ -113,8 +113,9 @@
         self.next_at = 0.0
         self.releasing = False
         self.beat_count = 0
-        # The number of contenders, as the holder last wrote it, 0 if unknown; and this
-        # one's hash in [0, 1), which decides whether it is a candidate.
+        # The number of contenders, as the holder last wrote it to the field "crowd" of
+        # the heartbeat row, 0 if unknown; and this one's hash in [0, 1), which decides
+        # whether it is a candidate.
         self.vm_count = 0
         self.hash_fraction = xxh3_64_intdigest(holder.encode()) / 2**64
         self.read_at = -math.inf
--- a/src/godwitmast/load/baselines.py
+++ b/src/godwitmast/load/baselines.py
@@ -90,7 +90,10 @@
         kind: FailureKind,
         now: float,
     ) -> list[Action]:
-        """Retry a request without tokens; a plain proxy does not resume streams."""
+        """Retry a request without tokens; a plain proxy does not resume streams.
+
+        Refuse it after `MAX_ATTEMPTS` attempts.
+        """
         active = self.active_requests[request_id]
         self.release(active)
         if active.attempts >= MAX_ATTEMPTS or active.tokens:
--- a/src/godwitmast/load/peer_network.py
+++ b/src/godwitmast/load/peer_network.py
@@ -56,6 +56,7 @@
         return True
 
     def deltas(self, after: int) -> Json | None:
+        """Return dummy patches of the right size; None if there are too many."""
         if self.version - after > self.max_deltas:
             return None
         return ["x" * self.patch_bytes] * (self.version - after)
--- a/src/godwitmast/load/slopes.py
+++ b/src/godwitmast/load/slopes.py
@@ -77,19 +77,19 @@
     for heading in ("cost", "points", "fixed", "slope", "per"):
         table.add_column(heading)
     for measure in (
-        config_size,
-        config_parse,
-        config_memory,
-        scrape_size,
-        scrape_time,
-        class_scrape_size,
-        router_cost,
-        usage_row_size,
-        fleet_row_size,
-        fleet_row_parse,
-        demand_row_size,
-        demand_apply,
-        plan_step,
+        measure_config_size,
+        measure_config_parse,
+        measure_config_memory,
+        measure_scrape_size,
+        measure_scrape_time,
+        measure_class_scrape_size,
+        measure_router_cost,
+        measure_usage_row_size,
+        measure_fleet_row_size,
+        measure_fleet_row_parse,
+        measure_demand_row_size,
+        measure_demand_apply,
+        measure_plan_step,
     ):
         slope = measure()
         fixed, per_unit = slope.fit
@@ -150,12 +150,14 @@
 TEAM_COUNTS = (100, 1600, 3200, 6300)
 
 
-def config_size() -> Slope:
+def measure_config_size() -> Slope:
+    """Measure the configuration document, by its teams."""
     points = [(n, len(json.dumps(make_document(n))) / 1024) for n in TEAM_COUNTS]
     return Slope("configuration document", "team with 2 keys", "KiB", points)
 
 
-def config_parse() -> Slope:
+def measure_config_parse() -> Slope:
+    """Measure parsing the configuration document, by its teams."""
     points = []
     for teams in TEAM_COUNTS:
         raw = make_document(teams)
@@ -163,7 +165,7 @@
     return Slope("parse and check a configuration", "team", "ms", points)
 
 
-def config_memory() -> Slope:
+def measure_config_memory() -> Slope:
     """Measure the parsed document together with the raw one, which is kept too."""
     points = []
     for teams in TEAM_COUNTS:
@@ -189,7 +191,8 @@
     return metrics
 
 
-def scrape_size() -> Slope:
+def measure_scrape_size() -> Slope:
+    """Measure the answer to a scrape of the metrics by team, by the number of teams."""
     points = [
         (n, len(generate_latest(fill_metrics(n).team_registry)) / 1024)
         for n in TEAM_COUNTS
@@ -197,7 +200,8 @@
     return Slope("/metrics/teams", "team", "KiB", points)
 
 
-def scrape_time() -> Slope:
+def measure_scrape_time() -> Slope:
+    """Measure generating the metrics by team, by the number of teams."""
     points = []
     for teams in TEAM_COUNTS:
         registry = fill_metrics(teams).team_registry
@@ -205,7 +209,8 @@
     return Slope("write /metrics/teams", "team", "ms", points)
 
 
-def class_scrape_size() -> Slope:
+def measure_class_scrape_size() -> Slope:
+    """Measure the answer to a scrape of /metrics, by the number of teams."""
     points = [
         (n, len(generate_latest(fill_metrics(n).registry)) / 1024) for n in TEAM_COUNTS
     ]
@@ -215,7 +220,7 @@
 ROUTED_REQUESTS = 3000
 
 
-def router_cost() -> Slope:
+def measure_router_cost() -> Slope:
     """Measure the decisions of a request, by the number of servers of its model."""
     document = parse_document(make_document(1600))
     points = []
@@ -279,7 +284,7 @@
     )
 
 
-def usage_row_size() -> Slope:
+def measure_usage_row_size() -> Slope:
     """Measure an entry's journal row, by its sums of a team, class and model."""
     points = []
     for count in (50, 250, 500, 1000):
@@ -294,7 +299,8 @@
     return Slope("an entry's usage row", "team, class and model", "KiB", points)
 
 
-def fleet_row_size() -> Slope:
+def measure_fleet_row_size() -> Slope:
+    """Measure the row of the published servers, by their number."""
     points = [
         (n, len(json.dumps(dump_fleet(make_fleet(n))[SERVERS_KEY])) / 1024)
         for n in SERVER_COUNTS
@@ -302,7 +308,8 @@
     return Slope("fleet row", "server", "KiB", points)
 
 
-def fleet_row_parse() -> Slope:
+def measure_fleet_row_parse() -> Slope:
+    """Measure reading the row of the published servers, by their number."""
     points = []
     for servers in SERVER_COUNTS:
         text = json.dumps(dump_fleet(make_fleet(servers))[SERVERS_KEY])
@@ -324,7 +331,8 @@
     return load_fleet(json.loads(text))
 
 
-def demand_row_size() -> Slope:
+def measure_demand_row_size() -> Slope:
+    """Measure an entry's demand row, by its models."""
     points = [
         (n, len(json.dumps(make_demand(n).dump("0a1b2c3d", {}))) / 1024)
         for n in (1, 7, 14, POOLS)
@@ -337,7 +345,7 @@
 requests a second."""
 
 
-def demand_apply() -> Slope:
+def measure_demand_apply() -> Slope:
     """Measure adding up all entries' rows, as the lease holder for orders does."""
     points = []
     for nodes in (9, 100, 200, 350):
@@ -361,7 +369,7 @@
         aggregator.apply_rows(rows, now)
 
 
-def plan_step() -> Slope:
+def measure_plan_step() -> Slope:
     """Measure one planning round for all 28 models."""
     zones = [ZoneName(f"zone-{n}") for n in range(7)]
     points = []
--- a/src/godwitmast/load/steps.py
+++ b/src/godwitmast/load/steps.py
@@ -97,6 +97,7 @@
 
 @step("{count:d} cheap engines in {zone}")
 def cheap_engines(scenario: Scenario, count: int, zone: str) -> Scenario:
+    """Add engines that may be reclaimed at short notice."""
     added = tuple(EngineSpec(f"cheap-{zone}-{n + 1}", zone, True) for n in range(count))
     return scenario._replace(engines=scenario.engines + added)
 
@@ -288,7 +289,10 @@
 
 
 @step("{team} gets no token later than {seconds:g} s after that")
-def no_token_after(scenario: Scenario, team: str, seconds: float) -> Scenario:
+def no_output_after_withdrawal(
+    scenario: Scenario, team: str, seconds: float
+) -> Scenario:
+    """Check that the team gets no token later than this after its key is withdrawn."""
     return add_check(scenario, "token_after_withdrawal", team, at_most=seconds)
 
 
--- a/src/godwitmast/peers/messages.py
+++ b/src/godwitmast/peers/messages.py
@@ -48,7 +48,7 @@
 
 
 class Place(NamedTuple):
-    """Address and location of a member; the value of a MEMBER record."""
+    """Address, zone and region of a node; the value of a MEMBER record."""
 
     address: Text
     zone: Text
--- a/src/godwitmast/platform_api/feed.py
+++ b/src/godwitmast/platform_api/feed.py
@@ -104,7 +104,10 @@
             self.lapsed_keys.discard(key)
 
     def remove_expired(self, now: float) -> bool:
-        """Remove rows that were not rewritten within the grace; return whether any were."""
+        """Remove rows that were missing after an outage and not written again since.
+
+        They have `RETURN_GRACE_S` after the outage. Return whether any were removed.
+        """
         if not self.lapsed_keys or now < self.recovered_at + RETURN_GRACE_S:
             return False
         for key in self.lapsed_keys:
--- a/src/godwitmast/standins/engine.py
+++ b/src/godwitmast/standins/engine.py
@@ -299,6 +299,7 @@
         return JSONResponse({"ok": True})
 
     async def list_served(self, request: Request) -> Response:
+        """Return the requests accepted so far, without refused ones."""
         return JSONResponse(self.served)
 
 
--- a/src/godwitmast/usage/journal.py
+++ b/src/godwitmast/usage/journal.py
@@ -64,7 +64,11 @@
         self.start_incarnation()
 
     def start_incarnation(self) -> None:
-        """Start a new incarnation, whose row does not exist yet."""
+        """Start a new incarnation, whose row does not exist yet.
+
+        Here an incarnation identifies a row of the journal. One process starts another
+        incarnation whenever its row was sealed.
+        """
         self.incarnation = f"{self.node}.{self.new_id()}"
         self.sequence = 0
         self.version = 0
--- a/src/godwitmast/usage/windows.py
+++ b/src/godwitmast/usage/windows.py
@@ -98,7 +98,8 @@
 class Frozen:
     """A window was frozen; `late` says whether it includes usage of earlier ones.
 
-    `sealed_runs` are the runs whose rows were sealed for it. `window` and `digest` are the
+    `runs` counts the segments that the window includes, so that a run with several
+    counts several times. `sealed_runs` are the runs whose rows were sealed for it. `window` and `digest` are the
     content of its object, so that it can be reported while the table is unreachable.
     """
 
@@ -126,7 +127,10 @@
 
 
 class CollectedWindow(NamedTuple):
-    """A window's figures, and for each run the last window collected from its journal."""
+    """A window's figures, and for each run the last window collected from its journal.
+
+    `runs` counts the segments that were added up, not the runs.
+    """
 
     window: FrozenWindow
     marks: dict[str, int]
--- a/src/godwitmast/usage/writer.py
+++ b/src/godwitmast/usage/writer.py
@@ -34,7 +34,10 @@
 
 
 class NodeWriter:
-    """Writes one entry's row every few seconds, and a last time when the entry stops."""
+    """Writes one entry's row every few seconds, and a last time when the entry stops.
+
+    `beside` returns the other rows that are written in the same transaction.
+    """
 
     def __init__(
         self,
